--- a/siskinthread/load_control/__init__.py
+++ b/siskinthread/load_control/__init__.py
@@ -1,35 +1,36 @@
-"""Decisions under load: clock, loads and requests in, a typed decision out, no socket.
+"""Admission, queueing, retry and placement decisions under load, without I/O.
 
-Interface of admission: ``LoadControl(parts)``; ``note_asked(request)`` counts each
-request of a caller, ``started(request, entry)`` returns a `RunningRequest` for one that
-goes to a target, ``weigh(request, candidates)`` returns its `Admission`, the targets
-that admit it, and ``refusal_cause(admission, chosen, load)`` why it is refused, a
-`BindingCause` or None.
+Each part takes a clock, loads and requests, and returns a typed decision.
 
-Interface of waiting: ``WaitRules(settings, clock).decide(facts)`` tells whether and
-until when a request may wait, ``WaitQueue(settings)`` holds those that wait in their
-order, ``OutageLengths(settings, clock)`` estimates when an outage ends and
-``RequestTimes(settings)`` how long a request of a route takes.
+Admission: ``LoadControl(parts)`` holds the state of a host. ``note_asked(request)``
+counts each incoming request, ``evaluate(request, candidates, group_of)`` returns its
+`Admission` (the targets that admit it), ``refusal_cause(admission, chosen, load)``
+returns a `BindingCause`, or None if the request is admitted, and ``started(request,
+entry)`` returns a `RunningRequest` for a request that is sent to a target.
 
-Interface of returns: ``ReturnBook(settings, clock)`` counts the callers of a service
-that were promised a place, by step, and ``ReturningCallers(settings, clock)`` tells
-who has come back and who may have a promise.
+Queueing: ``WaitPolicy(settings, clock).decide(facts)`` decides whether and until when a
+request may wait, ``WaitQueue(settings)`` holds the waiting requests in their order,
+``OutageDurations(settings, clock)`` estimates the rest of an outage, and
+``RouteDurations(settings)`` the duration of a request of a route.
 
-Interface of speeds: ``Speeds(parts)`` measures the times of requests at each target, as
-``started`` and the `RunningRequest` tell of them; ``prefer(...)`` returns the targets
-that a request prefers, all where no speed differs, ``slow_groups(...)`` the groups
-with longer passes, and ``statements()`` what peers are told, a `SpeedStatement` by
-target.
+Retries: ``RetrySchedule(settings, clock)`` counts the retry slots promised to the
+refused callers of a service, by time step, and ``RetryDetector(settings, clock)`` tells
+retries from first attempts.
+
+Speeds: ``Speeds(parts)`` measures request durations at each target, as reported by
+``started`` and the `RunningRequest`. ``prefer(...)`` returns the targets preferred for
+a request (all of them where no speed differs), ``slow_groups(...)`` the groups with
+longer passes, and ``statements()`` a `SpeedStatement` by target, to be sent to peers.
 """
 
 from siskinthread.load_control._admission import Admission
-from siskinthread.load_control._binding import BindingCause
+from siskinthread.load_control._binding_cause import BindingCause
 from siskinthread.load_control._load_control import LoadControl
-from siskinthread.load_control._outage_lengths import OutageLengths
-from siskinthread.load_control._priority_mix import PriorityMix
-from siskinthread.load_control._request_times import RequestTimes
-from siskinthread.load_control._returning_callers import ReturningCallers
-from siskinthread.load_control._returns import BookedReturn, ReturnBook
+from siskinthread.load_control._outage_durations import OutageLengths
+from siskinthread.load_control._recent_priorities import PriorityMix
+from siskinthread.load_control._retry_detector import ReturningCallers
+from siskinthread.load_control._retry_schedule import ReturnBook, ScheduledRetry
+from siskinthread.load_control._route_durations import RequestTimes
 from siskinthread.load_control._running_request import RunningRequest
 from siskinthread.load_control._settings import LoadControlSettings
 from siskinthread.load_control._speed_settings import SpeedSettings
@@ -53,7 +54,7 @@
 __all__ = [
     "Admission",
     "BindingCause",
-    "BookedReturn",
+    "ScheduledRetry",
     "LoadControl",
     "LoadControlSettings",
     "NoWait",
--- a/siskinthread/load_control/_admission.py
+++ b/siskinthread/load_control/_admission.py
@@ -1,4 +1,4 @@
-"""What speaks for and against adding one request to some targets."""
+"""Result of evaluating one request against the candidate targets."""
 
 
 class Admission:
@@ -9,25 +9,26 @@
     request : GatewayRequest
         The request.
     candidates : list of TargetEntry
-        The targets that could take it.
+        The targets that could serve it.
 
     Attributes
     ----------
     usable : list of TargetEntry
-        Those that would serve it in time if they had a free slot.
+        The candidates that would serve the request in time if they had a free slot.
     admitting : list of TargetEntry
-        Those of them to which this host may add it now; as many as are left when the
-        first bound admits none, so that the best of them tells why.
+        The usable targets to which this host may add the request now. If a bound admits
+        none, the list from before that bound, so that the refusal can name the best of
+        them.
     cause : BindingCause or None
-        Why none admits it.
-    most_load : float
-        Requests for each slot of one target that it must be below.
-    most_mean_load : float
-        The same of the mean of all.
+        Why no target admits the request.
+    max_load : float
+        Exclusive upper bound on the requests per slot of the chosen target.
+    max_mean_load : float
+        The same for the mean over all targets.
     reserved_share : float
-        Part of the slots that is reserved for more urgent requests.
+        Fraction of the slots that is reserved for more urgent requests.
     is_surging : bool
-        Whether its client account uses several times its usual.
+        Whether the client account uses several times its usual load.
     """
 
     __slots__ = (
@@ -35,8 +36,8 @@
         "candidates",
         "cause",
         "is_surging",
+        "max_mean_load",
         "most_load",
-        "most_mean_load",
         "request",
         "reserved_share",
         "usable",
@@ -49,19 +50,19 @@
         self.admitting = candidates
         self.cause = None
         self.most_load = 1.0
-        self.most_mean_load = 1.0
+        self.max_mean_load = 1.0
         self.reserved_share = 0.0
         self.is_surging = False
 
     def keep_usable(self, entries, cause):
-        """Leave only targets that would serve the request in time.
+        """Keep only targets that would serve the request in time.
 
         Parameters
         ----------
         entries : list of TargetEntry
-            Those of the usable ones that would.
+            The usable targets that would.
         cause : BindingCause
-            Why the others would not.
+            Why the other targets would not.
         """
         if self.cause is not None:
             return
@@ -71,7 +72,7 @@
             self.cause = cause
 
     def keep_admitting(self, entries, cause):
-        """Leave only targets to which this host may add the request now."""
+        """Keep only targets to which this host may add the request now."""
         if self.cause is not None:
             return
         if entries:
--- a/siskinthread/load_control/_arrivals.py
+++ b/siskinthread/load_control/_arrival_rates.py
@@ -1,17 +1,17 @@
-"""How many requests of each priority callers ask this host for."""
+"""Rates of incoming requests by priority."""
 
 import math
 
 
-class Arrivals:
-    """Rates of requests by service and priority.
+class ArrivalRates:
+    """Exponentially decaying request rates by service and priority.
 
     Parameters
     ----------
     settings : LoadControlSettings
-        How long a priority counts as asked for.
+        How long a priority counts as requested.
     memory_s : float
-        Time over which rates are averaged, seconds.
+        Averaging time of the rates, seconds.
     clock : siskinthread.timing.Clock
         Clock of the rates.
     """
@@ -22,33 +22,33 @@
         self._settings = settings
         self._memory_s = memory_s
         self._clock = clock
-        # Rate and when it was computed, monotonic seconds, by priority and service.
+        # Rate per second and its time, monotonic seconds, by service and priority.
         self._rates = {}
 
     def note(self, service_name, priority):
-        """Count a request of a caller."""
+        """Count an incoming request."""
         now_s = self._clock.monotonic_s()
         rates = self._rates.setdefault(service_name, {})
         rate_per_s = self._decayed(rates.get(priority), now_s)
         rates[priority] = (rate_per_s + 1 / self._memory_s, now_s)
 
     def more_urgent_per_s(self, service_name, priority):
-        """Return the requests per second of all priorities that go before one.
+        """Return the requests per second of all priorities more urgent than one.
 
         Returns
         -------
         float
-            0 if none was asked for lately.
+            0 if none was requested within the priority memory.
         """
         now_s = self._clock.monotonic_s()
         return sum(
             self._decayed(rate, now_s)
-            for one, rate in self._rates.get(service_name, {}).items()
-            if one < priority and self._is_recent(rate, now_s)
+            for rank, rate in self._rates.get(service_name, {}).items()
+            if rank < priority and self._is_recent(rate, now_s)
         )
 
     def per_s(self, service_name, priority):
-        """Return the requests per second of one priority; 0 if none came lately."""
+        """Return the requests per second of one priority; 0 if none is recent."""
         rate = self._rates.get(service_name, {}).get(priority)
         now_s = self._clock.monotonic_s()
         if rate is None or not self._is_recent(rate, now_s):
@@ -62,11 +62,11 @@
         return sum(self._decayed(rate, now_s) for rate in rates)
 
     def has_less_urgent(self, service_name, priority):
-        """Return whether a priority that comes after one was asked for lately."""
+        """Return whether a less urgent priority was requested recently."""
         now_s = self._clock.monotonic_s()
         return any(
-            one > priority and self._is_recent(rate, now_s)
-            for one, rate in self._rates.get(service_name, {}).items()
+            rank > priority and self._is_recent(rate, now_s)
+            for rank, rate in self._rates.get(service_name, {}).items()
         )
 
     def _is_recent(self, rate, now_s):
--- a/siskinthread/load_control/_decayed_mean.py
+++ b/siskinthread/load_control/_decayed_mean.py
@@ -1,17 +1,17 @@
-"""Means that follow changes."""
+"""Exponentially weighted means."""
 
 import math
 
 
 class DecayedMean:
-    """Mean of samples whose weights decay, which restarts when they have changed.
+    """Exponentially weighted mean that restarts after a step change.
 
     Parameters
     ----------
     memory_s : float
-        Time over which samples are averaged, seconds.
+        Decay time of the weights, seconds.
     weight_limit : float
-        Largest weight of all samples.
+        Maximum sum of the weights.
     """
 
     __slots__ = ("_at_s", "_memory_s", "_streak", "_weight_limit", "total", "weight")
@@ -20,13 +20,13 @@
         self._memory_s = memory_s
         self._weight_limit = weight_limit
         self._at_s = 0.0
-        # The last sample, if it was far from the mean.
+        # Distance and value of the last sample if it was far from the mean, else None.
         self._streak = None
         self.total = 0.0
         self.weight = 0.0
 
     def decay(self, now_s):
-        """Let the weights decay until now, monotonic seconds."""
+        """Decay the weights until `now_s`, monotonic seconds."""
         if now_s <= self._at_s:
             return
         factor = math.exp((self._at_s - now_s) / self._memory_s)
@@ -35,22 +35,22 @@
         self.total *= factor
 
     def discount(self, factor):
-        """Reduce the weight of all samples."""
+        """Multiply the weight of all samples by a factor."""
         self.weight *= factor
         self.total *= factor
 
     def note(self, value, now_s, change_limit=math.inf):
-        """Take a sample.
+        """Add a sample of weight 1.
 
         Parameters
         ----------
         value : float
             The sample.
         now_s : float
-            Time now, monotonic seconds.
+            Current time, monotonic seconds.
         change_limit : float
-            Distance from the mean in which two samples in a row, on the same side,
-            show that earlier ones don't count any more.
+            Distance from the mean above which two consecutive samples on the same side
+            count as a step change, which discards the earlier samples.
         """
         self.decay(now_s)
         distance = value - self.mean(value)
--- a/siskinthread/load_control/_outage_lengths.py
+++ b/siskinthread/load_control/_outage_durations.py
@@ -1,27 +1,27 @@
-"""How long an outage of a service is expected to last."""
+"""Estimates the remaining duration of a service outage."""
 
 import statistics
 from collections import deque
 
-# Services of which lengths are kept; a deployment has a few.
+# Maximum number of services with history; a deployment has a few.
 SERVICES_LIMIT = 64
 
 
 class OutageLengths:
-    """The lengths of earlier outages, and an estimate for the present one.
+    """Durations of earlier outages, and an estimate for the current one.
 
     Parameters
     ----------
     settings : WaitingSettings
         How many outages are remembered.
     clock : siskinthread.timing.Clock
-        Clock of the lengths.
+        Clock of the durations.
 
     Notes
     -----
-    Nothing tells a short outage from a long one at its beginning.  Where lengths vary
-    over several orders, what is left is about what has passed; earlier outages raise
-    that estimate only.
+    At its start a short outage can't be distinguished from a long one. If durations
+    vary over several orders of magnitude, the expected rest is about the time elapsed
+    so far; earlier outages only raise that estimate.
     """
 
     __slots__ = ("_clock", "_known", "_settings")
@@ -32,7 +32,7 @@
         self._known = {}
 
     def note_ended(self, service_name, length_s):
-        """Remember an outage that is over, of `length_s` seconds."""
+        """Record an outage of `length_s` seconds that has ended."""
         lengths = self._known.get(service_name)
         if lengths is None:
             if len(self._known) >= SERVICES_LIMIT:
@@ -42,16 +42,16 @@
         lengths.append(length_s)
 
     def expected_left_s(self, service_name, began_at_s):
-        """Return how much longer an outage is expected to last, seconds.
+        """Return the expected remaining duration of an outage, seconds.
 
         Parameters
         ----------
         service_name : str
             The service.
         began_at_s : float
-            When the outage began, monotonic seconds.
+            Start of the outage, monotonic seconds.
         """
-        passed_s = max(0.0, self._clock.monotonic_s() - began_at_s)
+        elapsed_s = max(0.0, self._clock.monotonic_s() - began_at_s)
         lengths = self._known.get(service_name)
         usual_s = statistics.median(lengths) if lengths else 0.0
-        return max(passed_s, usual_s - passed_s)
+        return max(elapsed_s, usual_s - elapsed_s)
--- a/siskinthread/load_control/_output_lengths.py
+++ b/siskinthread/load_control/_output_lengths.py
@@ -1,15 +1,15 @@
-"""How many tokens the answers of each route have."""
+"""Output lengths of the responses of each route."""
 
 from collections import deque
 
-# Answers of a route that are remembered: enough for the upper tenth.
-ANSWERS_KEPT = 50
-# Part of the answers that are not longer than what is expected.
+# Responses kept per route: enough for the 0.9 quantile.
+RESPONSES_KEPT = 50
+# Quantile of the lengths that is expected.
 QUANTILE = 0.9
 
 
 class OutputLengths:
-    """Lengths of the latest whole answers by route, in tokens."""
+    """Lengths of the latest complete responses by route, in tokens."""
 
     __slots__ = ("_expected", "_latest")
 
@@ -18,12 +18,12 @@
         self._expected = {}
 
     def note(self, route_name, tokens):
-        """Take the length of a whole answer."""
-        latest = self._latest.setdefault(route_name, deque(maxlen=ANSWERS_KEPT))
+        """Record the length of a complete response."""
+        latest = self._latest.setdefault(route_name, deque(maxlen=RESPONSES_KEPT))
         latest.append(tokens)
         ordered = sorted(latest)
         self._expected[route_name] = ordered[int(QUANTILE * (len(ordered) - 1))]
 
     def expected(self, route_name):
-        """Return the length that most answers don't exceed, or None at first."""
+        """Return the length that most responses don't exceed, or None if unknown."""
         return self._expected.get(route_name)
--- a/siskinthread/load_control/_pass_limit.py
+++ b/siskinthread/load_control/_pass_limit.py
@@ -1,9 +1,10 @@
-"""Which groups take a further stream without making those that run late.
+"""Finds the groups that can take a further stream without making streams late.
 
-The load pattern: slots are nearly full, or the map of a group is skewed, and each
-further stream makes the passes of its group longer.  Beyond the pause that callers
-permit, all streams of the group are late at once.  So a group admits a further stream
-only while the pass that it would then make is within the permitted pause.
+When slots are nearly full or the expert map of a group is unbalanced, each further
+stream lengthens the forward passes of its group. Beyond the pause between events that
+callers permit, all streams of the group are late at once. A group therefore admits a
+further stream only while the predicted pass with that stream stays within the permitted
+pause.
 """
 
 import math
@@ -14,26 +15,27 @@
 
 
 class _GroupLoad:
-    """What a group's passes are predicted from.
+    """State from which the passes of a group are predicted.
 
     Parameters
     ----------
     passes : PassView
-        Its measured passes.
+        Measured passes of the group.
     """
 
     __slots__ = ("closed_shares", "noted_at_s", "passes", "running")
 
     def __init__(self, passes):
         self.passes = passes
-        # Requests of a rank, smoothed as the measured passes are, and when noted.
+        # Requests per rank, smoothed like the measured passes, and time of the last
+        # sample, monotonic seconds.
         self.running = None
         self.noted_at_s = None
-        # Shares of the permitted pause at which it admits no stream at present.
+        # Fractions of the permitted pause at which the group admits no stream now.
         self.closed_shares = set()
 
     def note(self, running, now_s, memory_s):
-        """Take the present requests of a rank into the smoothed ones."""
+        """Add a sample of the mean requests per rank to the smoothed value."""
         if self.running is None:
             self.running = running
         else:
@@ -43,12 +45,12 @@
 
 
 class PassLimit:
-    """Bounds groups by the time of their passes.
+    """Bounds the streams of groups by their pass times.
 
     Parameters
     ----------
     settings : LoadControlSettings
-        Parts of the permitted pause.
+        Fractions of the permitted pause.
     clock : siskinthread.timing.Clock
         Clock of the passes.
     loads : TargetLoads
@@ -59,14 +61,15 @@
     Attributes
     ----------
     services : dict of str to Service
-        What operators publish of each service.
+        Published settings of each service.
 
     Notes
     -----
-    The measured pass holds the skew of the map and slow ranks, which no model knows;
-    the model only scales it to one request more.  The shorter one of the last pass and
-    the usual one counts, so that a single long one, as in a change of the map, which is
-    over before a new stream's first event, closes no group.
+    The measured pass time includes the imbalance of the expert map and slow ranks,
+    which the model does not know; the model only scales the measured time to one more
+    request. The shorter of the last and the mean pass time is used, so that a single
+    long pass, such as during a change of the map, closes no group: it is over before
+    the first event of a new stream.
     """
 
     __slots__ = ("_clock", "_groups", "_loads", "_progress", "_settings", "services")
@@ -87,11 +90,11 @@
         request : GatewayRequest
             The request.
         entries : list of TargetEntry
-            The targets that could take it.
+            The candidate targets.
         group_of : callable
             Returns the name of the group of a target by its instance id, or None.
         share : float
-            Part of the permitted pause that its passes may take.
+            Fraction of the permitted pause that passes may take.
         """
         layout = self._layout(request)
         if layout is None:
@@ -107,14 +110,14 @@
         if not closed:
             return entries
         return [
-            one
+            entry
             for group, ranks in by_group.items()
             if group not in closed
-            for one in ranks
+            for entry in ranks
         ]
 
     def _layout(self, request):
-        """Return the `ExpertLayout` that bounds a request, or None."""
+        """Return the `ExpertLayout` whose pass limit applies to a request, or None."""
         service = self.services.get(request.service_name)
         if not self._settings.are_passes_used or not request.kind.is_stream:
             return None
@@ -123,28 +126,30 @@
         return service.experts if math.isfinite(service.experts.pass_limit_s) else None
 
     def _admits(self, group, ranks, layout, share):
-        known = self._groups.get(group)
-        if known is None:
-            known = _GroupLoad(self._progress.pass_view(group))
-            self._groups[group] = known
+        state = self._groups.get(group)
+        if state is None:
+            state = _GroupLoad(self._progress.pass_view(group))
+            self._groups[group] = state
         now_s = self._clock.monotonic_s()
-        counts = [self._loads.total(one.instance_id) for one in ranks]
+        counts = [self._loads.total(entry.instance_id) for entry in ranks]
         running = sum(counts) / len(counts)
-        known.note(running, now_s, self._settings.pass_memory_s)
-        current_s = known.passes.current_s(now_s)
+        state.note(running, now_s, self._settings.pass_memory_s)
+        current_s = state.passes.current_s(now_s)
         if current_s is None:
-            known.closed_shares.clear()
+            state.closed_shares.clear()
             return True
-        measured_s = min(current_s, known.passes.usual_s)
-        unseen = self._loads.unseen_count() / max(1, len(self._groups))
-        grown_s = _grown_pass_s(layout.model, counts, running, unseen)
-        predicted_s = measured_s * grown_s / layout.model.even_pass_s(known.running)
+        measured_s = min(current_s, state.passes.usual_s)
+        unreported = self._loads.unseen_count() / max(1, len(self._groups))
+        model_pass_s = _predicted_pass_s(layout.model, counts, running, unreported)
+        predicted_s = (
+            measured_s * model_pass_s / layout.model.even_pass_s(state.running)
+        )
         limit_s = share * layout.pass_limit_s
-        if share in known.closed_shares:
+        if share in state.closed_shares:
             limit_s *= self._settings.reopen_share
         admits = predicted_s <= limit_s
-        if admits == (share in known.closed_shares):
-            known.closed_shares ^= {share}
+        if admits == (share in state.closed_shares):
+            state.closed_shares ^= {share}
             _logger.event(
                 "group admits streams again" if admits else "group admits no streams",
                 group=group,
@@ -156,15 +161,16 @@
         return admits
 
 
-def _grown_pass_s(model, counts, running, unseen):
-    """Return the time of a pass with one request more at the least loaded rank.
+def _predicted_pass_s(model, counts, running, unreported):
+    """Return the time of a pass with one more request at the least loaded rank.
 
-    The work of experts is shared by all ranks, also that of requests which other hosts
-    have begun since their news; all ranks wait for the one that has most of its own.
+    The expert work of all requests is shared by all ranks, including that of requests
+    that other hosts have started since their last report. All ranks wait for the rank
+    with the most other work.
     """
     own_growth = max(0, min(counts) + 1 - max(counts))
     growth = (
-        model.expert_share * (1 + unseen) / len(counts)
+        model.expert_share * (1 + unreported) / len(counts)
         + (1 - model.expert_share) * own_growth
     )
     return model.even_pass_s(running) + model.request_s * growth
--- a/siskinthread/load_control/_placement.py
+++ b/siskinthread/load_control/_placement.py
@@ -1,38 +1,41 @@
-"""Which of the targets that admit a request are expected to answer it first.
+"""Selects the targets that are expected to answer a request first.
 
-The load pattern: some targets of a service are slower than others, or slow down when
-they are nearly full.  By load alone a slow target gets as many requests at once as a
-fast one, and each of them is late.
+Some targets of a service are slower than others, or slow down when nearly full. With a
+choice by load alone, a slow target gets as many concurrent requests as a fast one, and
+its requests are late.
 """
 
 import math
 
-# Half of a slot: a target is believed to have the nearest whole number of requests.
-DEVIATION = 0.5
-# Requests for each target that peers begin unseen from which on loads say little.
-UNSEEN_LIMIT = 1.0
-# With the square, two of three targets at 0.3 of their capacity served 0.996 to 1.000
-# in time beside one that is four times slower; with the first power 0.994 to 0.997.
-DRAW_POWER = 2
-# Times of a request that a failed one costs which may be repeated.
-REPEAT_COST = 1.0
+# Standard deviation of a reported request count, in slots: counts are assumed to be
+# correct to the nearest integer.
+COUNT_DEVIATION = 0.5
+# Requests per target that peers start between reports, from which on reported loads are
+# not used to compare targets.
+UNREPORTED_LIMIT = 1.0
+# Exponent of the speed in the draw of a target. With 2, two of three targets at 0.3 of
+# their capacity answered 0.996 to 1.000 in time beside a four times slower one; with 1
+# it was 0.994 to 0.997.
+SPEED_EXPONENT = 2
+# Cost of a failed request that may be retried, in request durations.
+RETRY_COST = 1.0
 
 
-class Place:
-    """A target that a request may go to.
+class Candidate:
+    """A target that a request may be sent to.
 
     Parameters
     ----------
     entry : TargetEntry
         The target.
     count : int
-        Requests that it is believed to have.
+        Estimated number of its requests.
     own_count : int
-        Those of them that are this host's.
+        Number of these that this host has sent.
     speed : TargetSpeed or None
-        What is known of its speed; None if it is usual.
+        Its deviating speed, or None if the speed is typical.
     is_repeatable : bool
-        Whether the request may be repeated if the target fails it.
+        Whether the request may be retried if the target fails it.
     """
 
     __slots__ = ("count", "entry", "is_repeatable", "own_count", "speed")
@@ -46,14 +49,14 @@
 
 
 class Preference:
-    """The targets among which load and chance decide.
+    """The preferred targets, among which load and chance decide.
 
     Parameters
     ----------
     entries : list of TargetEntry
         The targets, at least one.
     is_trial : bool
-        Whether the request finds out whether a slow target has recovered.
+        Whether the request tests if a slow target has recovered.
     """
 
     __slots__ = ("entries", "is_trial")
@@ -64,26 +67,27 @@
 
 
 class SpeedPlacement:
-    """Prefers the targets with the least expected time, as far as loads are known.
+    """Prefers the targets with the shortest expected time.
 
     Parameters
     ----------
     settings : SpeedSettings
-        What counts as alike, trials.
+        Similarity ratio, and rate of recovery trials.
     clock : siskinthread.timing.Clock
         Clock of the trials.
     random : random.Random
-        Draws, and decides which host makes a trial.
+        Draws targets, and decides which host makes a trial.
 
     Notes
     -----
-    Where peers begin more requests than one for each target before they tell of them,
-    loads say little of single targets: hosts that all took the one with the least
-    expected time filled it, and then the next one.  There a target is drawn by the
-    square of its speed, so that one that is 12 times slower gets one request in 144.
-
-    It excludes no target that another one would not replace: with a single one that
-    admits a request, that is the one.
+    Where peers start more than one request per target between their reports, the loads
+    of single targets are unknown: hosts that all took the target with the shortest
+    expected time would fill it, and then the next one. In that case a target is drawn
+    with the square of its speed as weight, so that a 12 times slower one gets one
+    request for every 144 of a typical target.
+
+    A target is left out only if another one replaces it: a single admitting target is
+    always used.
     """
 
     __slots__ = ("_clock", "_random", "_settings")
@@ -93,80 +97,81 @@
         self._clock = clock
         self._random = random
 
-    def prefer(self, places, unseen_count, fleet_per_s, most_load=1.0):
+    def prefer(self, candidates, unseen_count, fleet_per_s, most_load=1.0):
         """Return the `Preference` among some targets.
 
         Parameters
         ----------
-        places : list of Place
+        candidates : list of Candidate
             The targets, at least one.
         unseen_count : float
-            Requests that peers have begun since they told of theirs.
+            Requests that peers have started since their last reports.
         fleet_per_s : float
-            Requests a second of all hosts, at least this host's.
-        most_load : float
-            Requests for each slot from which on a target takes no more.
+            Requests per second of all hosts, at least those of this host.
+        max_load : float
+            Requests per slot from which on a target takes no more.
         """
-        trials = [one for one in places if self._may_try(one, fleet_per_s)]
+        trials = [c for c in candidates if self._is_trial_due(c, fleet_per_s)]
         if trials:
             return Preference([self._random.choice(trials).entry], is_trial=True)
-        most = max(1.0, most_load)
-        free = [one for one in places if one.count < most * one.entry.slot_count]
-        places = free or places
-        if unseen_count < UNSEEN_LIMIT * len(places):
-            times = [self.time(one, one.count) for one in places]
+        load_limit = max(1.0, most_load)
+        free = [c for c in candidates if c.count < load_limit * c.entry.slot_count]
+        candidates = free or candidates
+        if unseen_count < UNREPORTED_LIMIT * len(candidates):
+            times = [self.expected_time(c, c.count) for c in candidates]
             time = min(times)
         else:
-            times = [self.unseen_time(one) for one in places]
-            weights = [one**-DRAW_POWER for one in times]
+            times = [self.time_at_unknown_load(c) for c in candidates]
+            weights = [t**-SPEED_EXPONENT for t in times]
             time = self._random.choices(times, weights)[0]
         ratio = self._settings.alike_ratio
         return Preference(
             [
-                place.entry
-                for place, one in zip(places, times, strict=True)
-                if time / ratio <= one <= time * ratio
+                candidate.entry
+                for candidate, candidate_time in zip(candidates, times, strict=True)
+                if time / ratio <= candidate_time <= time * ratio
             ]
         )
 
-    def time(self, place, count):
-        """Return the time expected at a target, relative to that of a usual one.
+    def expected_time(self, candidate, count):
+        """Return the expected time at a target, relative to that at a typical one.
 
         Parameters
         ----------
-        place : Place
+        candidate : Candidate
             The target.
         count : int
-            Requests that it has.
+            Number of its requests.
         """
-        slots = max(1, place.entry.slot_count)
+        slots = max(1, candidate.entry.slot_count)
         wait = expected_excess(count + 1 - slots) / slots
-        is_high = (count + 1) / slots > self._settings.near_full_load
-        return self._slowness(place, is_high) * (1.0 + wait)
+        is_nearly_full = (count + 1) / slots > self._settings.near_full_load
+        return self._slowness(candidate, is_nearly_full) * (1.0 + wait)
 
-    def unseen_time(self, place):
-        """Return the time expected at a target whose load is not known.
+    def time_at_unknown_load(self, candidate):
+        """Return the expected time at a target of unknown load.
 
-        It may be nearly full.  With a target that slows down then, at 0.3 of the
-        capacity and 62 hosts, 0.972 were in time as if it never were, and 0.994 so.
+        The target may be nearly full, so the larger slowness is used. With one target
+        that slows down when nearly full, at 0.3 of the capacity and 62 hosts, 0.994 of
+        the requests were in time, and 0.972 with the slowness at low load.
         """
-        return self._slowness(place, is_high=True)
+        return self._slowness(candidate, is_nearly_full=True)
 
-    def _slowness(self, place, is_high):
-        """Return the time of a request that need not wait, with its failures' cost."""
-        speed = place.speed
+    def _slowness(self, candidate, is_nearly_full):
+        """Return the relative time without queueing, including the cost of failures."""
+        speed = candidate.speed
         if speed is None:
             return 1.0
-        slowness = max(speed.low, speed.high) if is_high else speed.low
-        cost = REPEAT_COST if place.is_repeatable else self._settings.failure_cost
+        slowness = max(speed.low, speed.high) if is_nearly_full else speed.low
+        cost = RETRY_COST if candidate.is_repeatable else self._settings.failure_cost
         return slowness * (1.0 + cost * speed.failure_share)
 
-    def _may_try(self, place, fleet_per_s):
-        """Return whether a request finds out whether a slow target has recovered."""
-        speed = place.speed
-        if speed is None or speed.low <= 1.0 or place.own_count:
+    def _is_trial_due(self, candidate, fleet_per_s):
+        """Return whether a request should test if a slow target has recovered."""
+        speed = candidate.speed
+        if speed is None or speed.low <= 1.0 or candidate.own_count:
             return False
-        if place.count >= place.entry.slot_count:
+        if candidate.count >= candidate.entry.slot_count:
             return False
         idle_s = self._clock.monotonic_s() - speed.newest_s
         if idle_s < self._settings.trial_wait_s:
@@ -175,8 +180,8 @@
 
 
 def expected_excess(mean):
-    """Return the mean of what a number, known to half a slot, exceeds 0 by."""
-    distance = mean / DEVIATION
+    """Return the mean excess over 0 of a count known to half a slot."""
+    distance = mean / COUNT_DEVIATION
     below = 0.5 * (1 + math.erf(distance / math.sqrt(2)))
     density = math.exp(-distance * distance / 2) / math.sqrt(2 * math.pi)
-    return DEVIATION * (distance * below + density)
+    return COUNT_DEVIATION * (distance * below + density)
--- a/siskinthread/load_control/_priority_mix.py
+++ b/siskinthread/load_control/_recent_priorities.py
@@ -1,16 +1,16 @@
-"""Which priorities are asked for lately."""
+"""Which priorities were requested recently."""
 
-# Services and priorities that are kept.
-KEPT_LIMIT = 256
+# Maximum number of pairs of service and priority.
+ENTRIES_LIMIT = 256
 
 
 class PriorityMix:
-    """When requests of each priority last came, by service.
+    """Time of the last request of each priority, by service.
 
     Parameters
     ----------
     settings : WaitingSettings
-        How long a request counts.
+        How long a request counts as recent.
     clock : siskinthread.timing.Clock
         Clock of the times.
     """
@@ -23,14 +23,14 @@
         self._seen_s = {}
 
     def note(self, service_name, priority):
-        """Note a request of a caller."""
+        """Record an incoming request."""
         key = (service_name, priority)
-        if key not in self._seen_s and len(self._seen_s) >= KEPT_LIMIT:
+        if key not in self._seen_s and len(self._seen_s) >= ENTRIES_LIMIT:
             self._seen_s.clear()
         self._seen_s[key] = self._clock.monotonic_s()
 
     def has_less_urgent(self, service_name, priority):
-        """Return whether less urgent requests have come lately."""
+        """Return whether less urgent requests came recently."""
         oldest_s = self._clock.monotonic_s() - self._settings.priority_memory_s
         return any(
             name == service_name and rank > priority and seen_s >= oldest_s
--- a/siskinthread/load_control/_request_times.py
+++ b/siskinthread/load_control/_route_durations.py
@@ -1,11 +1,11 @@
-"""How long requests of a route take once a target has them."""
+"""Mean time that targets take for the requests of each route."""
 
-# Routes of which times are kept.
+# Maximum number of routes.
 ROUTES_LIMIT = 512
 
 
 class RequestTimes:
-    """Smoothed mean of the times that requests of each route took.
+    """Exponentially weighted mean of the request durations of each route.
 
     Parameters
     ----------
@@ -20,7 +20,7 @@
         self._usual_s = {}
 
     def note(self, route_name, took_s):
-        """Take in a request that was answered, and how long its target took for it."""
+        """Record the time that a target took for an answered request, seconds."""
         usual_s = self._usual_s.get(route_name)
         if usual_s is None:
             if len(self._usual_s) >= ROUTES_LIMIT:
@@ -30,9 +30,9 @@
         self._usual_s[route_name] = usual_s + weight * (took_s - usual_s)
 
     def usual_s(self, route_name):
-        """Return the usual time of a request, seconds; 0 while none is known."""
+        """Return the mean duration of a request, seconds; 0 if unknown."""
         return self._usual_s.get(route_name, 0.0)
 
     def known_s(self, route_name):
-        """Return the usual time of a request, seconds, or None while none is known."""
+        """Return the mean duration of a request, seconds, or None if unknown."""
         return self._usual_s.get(route_name)
--- a/siskinthread/load_control/_speed_statement.py
+++ b/siskinthread/load_control/_speed_statement.py
@@ -1,29 +1,29 @@
-"""What hosts tell one another of the speed of a target."""
+"""Speed of a target as hosts report it to one another."""
 
 import math
 
-# Bounds of what a peer may tell, so that a wrong one can't outweigh all others.
-MOST_WEIGHT = 1000.0
-MOST_LOG_RATIO = 6.0
+# Bounds of reported values, so that a wrong report can't outweigh all others.
+MAX_WEIGHT = 1000.0
+MAX_LOG_RATIO = 6.0
 MILLISECONDS_PER_SECOND = 1000
 DIGITS = 2
-# Time over which what was told loses weight, as what is measured does.
+# Decay time of reported weights, seconds, equal to that of measured ones.
 MEMORY_S = 0.5
 
 
 class SpeedStatement:
-    """Times and failures of requests at a target, of one host or of several.
+    """Durations and failures of requests at a target, from one or several hosts.
 
-    Times are logarithms, relative to the usual time of each request.  All but the age
-    are sums, so that statements of several hosts can be added.
+    Durations are logarithms, relative to the typical duration of each request. All
+    values but the age are sums, so that statements of several hosts can be added.
 
     Parameters
     ----------
     low_weight, low_total : float
         Weight of the requests that found the target with free slots, and sum of their
-        weighted times.
+        weighted log durations.
     high_weight, high_total : float
-        The same of those that found it nearly full.
+        The same for requests that found the target nearly full.
     tries, failures : float
         Weight of all requests, and of those that failed.
     age_s : float
@@ -60,11 +60,15 @@
 
     @property
     def weight(self):
-        """Weight of all times."""
+        """Total weight of the durations."""
         return self.low_weight + self.high_weight
 
     def low(self):
-        """Return the mean time where slots are free; else that of all, or None."""
+        """Return the mean log duration at free slots, or None without any request.
+
+        The mean of all requests is returned instead if more weight is on requests that
+        found the target nearly full.
+        """
         if self.low_weight >= self.high_weight and self.low_weight:
             return self.low_total / self.low_weight
         return (self.low_total + self.high_total) / self.weight if self.weight else None
@@ -82,7 +86,7 @@
         )
 
     def aged(self, by_s):
-        """Return the statement as it is some seconds later."""
+        """Return the statement with its weights decayed by some seconds."""
         factor = math.exp(-by_s / MEMORY_S)
         return SpeedStatement(
             self.low_weight * factor,
@@ -95,7 +99,7 @@
         )
 
     def as_row(self):
-        """Return the numbers of a datagram."""
+        """Return the values as a row of a datagram."""
         sums = (
             self.low_weight,
             self.low_total,
@@ -104,17 +108,17 @@
             self.tries,
             self.failures,
         )
-        age_ms = round(min(self.age_s, MOST_WEIGHT) * MILLISECONDS_PER_SECOND)
-        return [*(round(one, DIGITS) for one in sums), age_ms]
+        age_ms = round(min(self.age_s, MAX_WEIGHT) * MILLISECONDS_PER_SECOND)
+        return [*(round(value, DIGITS) for value in sums), age_ms]
 
     @classmethod
     def from_row(cls, row):
-        """Return the statement of a row.
+        """Return the statement encoded in a row.
 
         Raises
         ------
         ValueError, TypeError
-            If it holds none.
+            If the row is invalid.
         """
         *sums, age_ms = row
         low_weight, low_total, high_weight, high_total, tries, failures = map(
@@ -134,31 +138,31 @@
 
 
 def add_speeds(sums, statements):
-    """Add `SpeedStatement` by target to sums by target."""
+    """Add the `SpeedStatement` of each target to the sums by target, in place."""
     for instance_id, statement in statements.items():
         known = sums.get(instance_id)
         sums[instance_id] = statement if known is None else known.plus(statement)
 
 
 def slowest(statements, count):
-    """Return as many `SpeedStatement` by target as are told, the slowest ones."""
+    """Return the statements of at most `count` targets, the slowest ones."""
     if len(statements) <= count:
         return statements
-    ids = sorted(statements, key=lambda one: -(statements[one].low() or 0.0))
-    return {one: statements[one] for one in ids[:count]}
+    ids = sorted(statements, key=lambda name: -(statements[name].low() or 0.0))
+    return {name: statements[name] for name in ids[:count]}
 
 
 def _finite(value):
     number = float(value)
     if not math.isfinite(number):
-        raise ValueError(f"{value} is no number")
+        raise ValueError(f"{value} is not a finite number")
     return number
 
 
 def _weight(value):
-    return min(max(0.0, value), MOST_WEIGHT)
+    return min(max(0.0, value), MAX_WEIGHT)
 
 
 def _total(value, weight):
-    most = weight * MOST_LOG_RATIO
+    most = weight * MAX_LOG_RATIO
     return min(max(-most, value), most)
--- a/siskinthread/load_control/_speed_view.py
+++ b/siskinthread/load_control/_speed_view.py
@@ -1,4 +1,4 @@
-"""Which targets are slower or faster than usual, as all hosts know together."""
+"""Detects targets of deviating speed from the measurements of all hosts."""
 
 import math
 
@@ -7,31 +7,32 @@
 
 _logger = part_logger("load_control")
 
-# Time for which a view of a service is kept: a fifth of the interval of news, and of
-# the time after which a request of 22 ms that became 12 times slower can be late.
-VIEW_KEPT_S = 0.02
-# Weight from which on requests count as new evidence.
+# Time for which the view of a service is cached, seconds: a fifth of the interval
+# between load reports, and of the time after which a request of 22 ms that became 12
+# times slower can be late.
+VIEW_CACHE_S = 0.02
+# Minimum weight of a statement that counts as new evidence.
 FRESH_WEIGHT = 0.5
-# Targets with evidence from which on their median is the reference.
+# Number of measured targets from which on their median is the reference.
 MEDIAN_COUNT = 3
-# Failed requests, and their part, that a target must exceed to count as failing.
-LEAST_FAILURES = 1.5
-LEAST_FAILURE_SHARE = 0.04
+# Minimum number and fraction of failed requests of a failing target.
+MIN_FAILURES = 1.5
+MIN_FAILURE_SHARE = 0.04
 
 
 class TargetSpeed:
-    """What is known of one target.
+    """Speed of one target.
 
     Attributes
     ----------
     low, high : float
-        Times that it is slower than the median target, where slots are free and where
-        it is nearly full.
+        Slowness relative to the median target, where slots are free and where the
+        target is nearly full.
     failure_share : float
-        Part of its requests that fail.
+        Fraction of its requests that fail.
     newest_s, high_newest_s : float
-        When the newest request ended that tells of it, and of it when nearly full,
-        monotonic seconds.
+        End of the newest request that the estimate depends on, and time of the newest
+        estimate of `high`, monotonic seconds.
     """
 
     __slots__ = ("failure_share", "high", "high_newest_s", "low", "newest_s")
@@ -45,41 +46,41 @@
 
     @property
     def is_usual(self):
-        """Whether it does not differ from the others."""
+        """Whether the speed is that of the other targets."""
         return self.low == self.high == 1.0 and not self.failure_share
 
 
 class SpeedView:
-    """Speeds of the targets of each service that measurably differ.
+    """Speeds of the targets of each service that measurably deviate.
 
     Parameters
     ----------
     settings : SpeedSettings
-        From which difference on they do.
+        Thresholds of a deviation.
     clock : siskinthread.timing.Clock
         Clock of the times.
     own : TargetSpeeds
-        What this host measures.
+        Measurements of this host.
     loads : TargetLoads
         Requests at each target.
 
     Attributes
     ----------
     peers : siskinthread.peer_news.PeerNews or None
-        Tells what other hosts measure.
+        Provides the measurements of other hosts.
 
     Notes
     -----
-    An estimate stands until newer requests contradict it or it expires.  If it were
+    An estimate is valid until newer requests contradict it or it expires. If it were
     dropped as its weight decays, all hosts would send to a slow target at once.
     """
 
     __slots__ = (
         "_clock",
-        "_heard",
-        "_known",
+        "_deviating",
         "_loads",
         "_own",
+        "_reported_ids",
         "_settings",
         "_views",
         "peers",
@@ -90,16 +91,16 @@
         self._settings = settings
         self._clock = clock
         self._own = own
-        # Targets that differ, by service.
-        self._known = {}
-        # Targets of which peers told at the last view, by service.
-        self._heard = {}
-        # Until when the view of a service is kept, monotonic seconds.
+        # Deviating targets by service.
+        self._deviating = {}
+        # Targets that peers reported at the last update, by service.
+        self._reported_ids = {}
+        # Expiry of the cached view of each service, monotonic seconds.
         self._views = {}
         self.peers = None
 
     def speeds(self, service_name, entries):
-        """Return the `TargetSpeed` of each target that differs.
+        """Return the `TargetSpeed` of each deviating target.
 
         Parameters
         ----------
@@ -111,110 +112,116 @@
         Returns
         -------
         dict of str to TargetSpeed
-            Empty if none does.
+            Empty if no target deviates.
         """
         if not self._settings.is_enabled:
             return {}
         now_s = self._clock.monotonic_s()
         if now_s >= self._views.get(service_name, -math.inf):
-            self._views[service_name] = now_s + VIEW_KEPT_S
-            self._look(service_name, entries, now_s)
-        return self._known.get(service_name, {})
+            self._views[service_name] = now_s + VIEW_CACHE_S
+            self._refresh(service_name, entries, now_s)
+        return self._deviating.get(service_name, {})
 
     def slowness(self, service_name, instance_id):
-        """Return the times that a target is slower than the median one."""
-        speed = self._known.get(service_name, {}).get(instance_id)
+        """Return the slowness of a target relative to the median one."""
+        speed = self._deviating.get(service_name, {}).get(instance_id)
         return 1.0 if speed is None else speed.low
 
     def statements(self):
-        """Return the `SpeedStatement` by target that peers are told of.
+        """Return the `SpeedStatement` by target that is reported to peers.
 
-        Targets that differ or seem to do so to this host, as many as are told.
+        Contains the targets that deviate, or seem to deviate to this host, up to the
+        limit of a report.
         """
         if not self._settings.is_enabled:
             return {}
-        told = {}
-        for service_name in self._known.keys() | self._own.services():
+        reported = {}
+        for service_name in self._deviating.keys() | self._own.services():
             suspects = self._own.suspects(service_name)
-            for instance_id in suspects.union(self._known.get(service_name, ())):
+            for instance_id in suspects.union(self._deviating.get(service_name, ())):
                 statement = self._own.statement(service_name, instance_id)
-                if statement is not None and _is_telling(statement):
-                    told[instance_id] = statement
-        return slowest(told, self._settings.told_limit)
+                if statement is not None and _is_informative(statement):
+                    reported[instance_id] = statement
+        return slowest(reported, self._settings.told_limit)
 
     def forget(self, instance_id):
-        """Drop what is known of a target that is gone."""
-        for known in self._known.values():
-            known.pop(instance_id, None)
+        """Drop the state of a target that is gone."""
+        for deviating in self._deviating.values():
+            deviating.pop(instance_id, None)
 
     def off_usual_count(self):
-        """Return the number of targets that measurably differ."""
-        return sum(len(known) for known in self._known.values())
-
-    def _look(self, service_name, entries, now_s):
-        """Bring what is known of the targets of a service up to date."""
-        told = {} if self.peers is None else self.peers.speeds()
-        known = self._known.get(service_name)
-        if not told and not known and not self._own.suspects(service_name):
-            self._heard.pop(service_name, None)
+        """Return the number of targets that measurably deviate."""
+        return sum(len(deviating) for deviating in self._deviating.values())
+
+    def _refresh(self, service_name, entries, now_s):
+        """Update the speeds of the targets of a service."""
+        reported = {} if self.peers is None else self.peers.speeds()
+        deviating = self._deviating.get(service_name)
+        if not reported and not deviating and not self._own.suspects(service_name):
+            self._reported_ids.pop(service_name, None)
             return
-        if known is None:
-            known = self._known.setdefault(service_name, {})
-        statements = self._combined(service_name, entries, told)
+        if deviating is None:
+            deviating = self._deviating.setdefault(service_name, {})
+        statements = self._combined(service_name, entries, reported)
         reference = _reference(statements.values(), len(entries))
         settings = self._settings
         least = settings.least_ratio_full
         if self._mean_load(entries) <= settings.near_full_load:
             least = settings.least_ratio
         for instance_id, statement in statements.items():
-            self._judge(service_name, instance_id, statement, reference, least, now_s)
-        for instance_id, speed in list(known.items()):
+            self._classify(
+                service_name, instance_id, statement, reference, least, now_s
+            )
+        for instance_id, speed in list(deviating.items()):
             if now_s - speed.newest_s > self._settings.expire_s:
-                self._drop(known, instance_id, "its estimate has expired")
-        if not known:
-            del self._known[service_name]
-
-    def _combined(self, service_name, entries, told):
-        """Return what this host and its peers have measured, by target."""
-        heard = self._heard.get(service_name, ())
-        now_heard = set()
+                self._drop(deviating, instance_id, "its estimate has expired")
+        if not deviating:
+            del self._deviating[service_name]
+
+    def _combined(self, service_name, entries, reported):
+        """Return the sum of this host's and its peers' measurements, by target."""
+        reported_ids = self._reported_ids.get(service_name, ())
+        new_reported_ids = set()
         combined = {}
         for entry in entries:
             instance_id = entry.instance_id
-            theirs = told.get(instance_id)
-            if theirs is not None:
-                now_heard.add(instance_id)
-                if instance_id not in heard and theirs.weight >= FRESH_WEIGHT:
+            peer_statement = reported.get(instance_id)
+            if peer_statement is not None:
+                new_reported_ids.add(instance_id)
+                if (
+                    instance_id not in reported_ids
+                    and peer_statement.weight >= FRESH_WEIGHT
+                ):
                     self._own.outdate(instance_id)
             own = self._own.statement(service_name, instance_id)
-            if own is not None and theirs is not None:
-                combined[instance_id] = own.plus(theirs)
-            elif own is not None or theirs is not None:
-                combined[instance_id] = own or theirs
-        self._heard[service_name] = now_heard
+            if own is not None and peer_statement is not None:
+                combined[instance_id] = own.plus(peer_statement)
+            elif own is not None or peer_statement is not None:
+                combined[instance_id] = own or peer_statement
+        self._reported_ids[service_name] = new_reported_ids
         return combined
 
     def _mean_load(self, entries):
-        count = sum(self._loads.total(one.instance_id) for one in entries)
-        return count / max(1, sum(one.slot_count for one in entries))
+        count = sum(self._loads.total(entry.instance_id) for entry in entries)
+        return count / max(1, sum(entry.slot_count for entry in entries))
 
-    def _judge(self, service_name, instance_id, statement, reference, least, now_s):
-        """Decide whether a target differs by its `SpeedStatement`."""
-        known = self._known[service_name]
-        speed = known.get(instance_id)
+    def _classify(self, service_name, instance_id, statement, reference, least, now_s):
+        """Decide by its `SpeedStatement` whether a target deviates."""
+        deviating = self._deviating[service_name]
+        speed = deviating.get(instance_id)
         is_new = speed is None
         if is_new:
             speed = TargetSpeed()
         spread = self._own.spread(service_name)
         if statement.weight >= FRESH_WEIGHT:
             mean = statement.low() - reference
-            by_chance = self._by_chance(statement.weight, spread)
-            speed.low = _ratio(mean, least, by_chance, speed.low)
+            error_margin = self._error_margin(statement.weight, spread)
+            speed.low = _ratio(mean, least, error_margin, speed.low)
         if statement.high_weight >= FRESH_WEIGHT:
             mean = statement.high_total / statement.high_weight - reference
-            by_chance = self._by_chance(statement.high_weight, spread)
+            error_margin = self._error_margin(statement.high_weight, spread)
             least = self._settings.least_ratio_full
-            speed.high = _ratio(mean, least, by_chance, speed.high)
+            speed.high = _ratio(mean, least, error_margin, speed.high)
             speed.high_newest_s = now_s
         elif now_s - speed.high_newest_s > self._settings.expire_s:
             speed.high = speed.low
@@ -223,9 +230,9 @@
             speed.newest_s = max(speed.newest_s, now_s - statement.age_s)
         if speed.is_usual:
             if not is_new:
-                self._drop(known, instance_id, "its requests take the usual time")
+                self._drop(deviating, instance_id, "its requests take the usual time")
         elif is_new and now_s - speed.newest_s <= self._settings.expire_s:
-            known[instance_id] = speed
+            deviating[instance_id] = speed
             _logger.event(
                 "target differs in speed",
                 target=instance_id,
@@ -236,39 +243,39 @@
                 age_s=round(statement.age_s, 3),
             )
 
-    def _by_chance(self, weight, spread):
-        """Return the distance of a mean logarithm that may be by chance."""
+    def _error_margin(self, weight, spread):
+        """Return the distance of a mean logarithm that random variation explains."""
         return self._settings.least_deviations * spread / math.sqrt(weight)
 
-    def _drop(self, known, instance_id, reason):
-        del known[instance_id]
+    def _drop(self, deviating, instance_id, reason):
+        del deviating[instance_id]
         _logger.event(
             "target counts as usually fast", target=instance_id, reason=reason
         )
 
 
-def _ratio(mean, least, by_chance, present):
-    """Return the slowness by a mean logarithm; 1 where it counts as usual.
+def _ratio(mean, least, error_margin, present):
+    """Return the slowness for a mean logarithm; 1 if it counts as typical.
 
-    A target that counts as slow or fast stays so though its weight decays.
+    A target that counts as slow or fast keeps its state as its weight decays.
     """
     if abs(mean) <= math.log(least):
         return 1.0
-    if abs(mean) > by_chance or (present - 1.0) * mean > 0:
+    if abs(mean) > error_margin or (present - 1.0) * mean > 0:
         return math.exp(mean)
     return 1.0
 
 
 def _reference(statements, target_count):
-    """Return the median of the mean times, as a logarithm.
+    """Return the median of the mean log durations.
 
-    If all targets are slow, none is slower than the others.  Where few have been
-    measured, others are taken for usual, or for as fast as the slowest measured one: if
-    all of these are fast, the usual time is too long.  It is so after this process was
-    late itself.  The first target that was measured then counted as fast, got all
-    requests, and stayed so as no other one was measured.
+    The median makes no target slow if all of them are. Where few targets are measured,
+    unmeasured ones count as typical, or as fast as the slowest measured one: if all
+    measured targets are fast, the typical duration is overestimated, as after a delay
+    of this process. Otherwise the first target measured after such a delay would count
+    as fast, get all requests, and stay fast since no other target would be measured.
     """
-    means = [one.low() for one in statements if one.weight >= FRESH_WEIGHT]
+    means = [s.low() for s in statements if s.weight >= FRESH_WEIGHT]
     unmeasured = min(0.0, max(means, default=0.0))
     means += [unmeasured] * (min(MEDIAN_COUNT, target_count) - len(means))
     means.sort()
@@ -276,13 +283,13 @@
 
 
 def _failure_share(statement):
-    """Return the part of requests that fail; 0 where that may be by chance."""
-    if statement.failures < LEAST_FAILURES:
+    """Return the fraction of failed requests; 0 if it may be due to chance."""
+    if statement.failures < MIN_FAILURES:
         return 0.0
     share = statement.failures / statement.tries
-    return share if share >= LEAST_FAILURE_SHARE else 0.0
+    return share if share >= MIN_FAILURE_SHARE else 0.0
 
 
-def _is_telling(statement):
-    """Return whether a `SpeedStatement` tells peers anything."""
+def _is_informative(statement):
+    """Return whether a `SpeedStatement` is worth reporting to peers."""
     return statement.weight >= FRESH_WEIGHT / 2 or statement.failures > 0
--- a/siskinthread/load_control/_speeds.py
+++ b/siskinthread/load_control/_speeds.py
@@ -1,13 +1,13 @@
-"""How fast the targets are, and which of them requests prefer."""
+"""Measures the speeds of targets and selects the preferred ones."""
 
 from siskinthread.load_control._group_passes import GroupPasses
-from siskinthread.load_control._placement import Place, SpeedPlacement
+from siskinthread.load_control._placement import Candidate, SpeedPlacement
 from siskinthread.load_control._speed_view import SpeedView
 from siskinthread.load_control._target_speeds import TargetSpeeds
 
 
 class Speeds:
-    """Measures targets, and places requests where speeds measurably differ.
+    """Measures targets, and candidates requests where speeds measurably differ.
 
     Parameters
     ----------
@@ -17,7 +17,7 @@
     Attributes
     ----------
     placement : SpeedPlacement
-        Which targets are preferred.
+        Selects the preferred targets.
     """
 
     __slots__ = (
@@ -41,7 +41,7 @@
 
     @property
     def peers(self):
-        """Tells what peers have measured, a `siskinthread.peer_news.PeerNews`."""
+        """Source of the measurements of peers, a `siskinthread.peer_news.PeerNews`."""
         return self._view.peers
 
     @peers.setter
@@ -50,7 +50,7 @@
 
     @property
     def group_of(self):
-        """Returns the name of the group of a target by its instance id, or None."""
+        """Function that returns the name of a target's group by its id, or None."""
         return self._own.group_of
 
     @group_of.setter
@@ -62,7 +62,7 @@
         return self._own.started(request, instance_id, load)
 
     def statements(self):
-        """Return the `SpeedStatement` by target that peers are told of."""
+        """Return the `SpeedStatement` by target that is reported to peers."""
         return self._view.statements()
 
     def slow_groups(self, service_name, get_loads):
@@ -70,7 +70,7 @@
         return self._passes.slow_groups(service_name, get_loads)
 
     def prefer(self, request, serving, admitting, most_load):
-        """Return the targets that a request prefers, of those that admit it.
+        """Return the preferred targets among those that admit a request.
 
         Parameters
         ----------
@@ -79,30 +79,30 @@
         serving : list of TargetEntry
             All targets of the service.
         admitting : list of TargetEntry
-            Those that admit the request.
-        most_load : float
-            Requests for each slot from which on a target takes no more.
+            The targets that admit the request.
+        max_load : float
+            Requests per slot from which on a target takes no more.
 
         Returns
         -------
         list of TargetEntry
-            All that admit it where no speed differs.
+            All admitting targets if no speed deviates.
         """
         speeds = self._view.speeds(request.service_name, serving)
-        if not speeds or not any(one.instance_id in speeds for one in admitting):
+        if not speeds or not any(entry.instance_id in speeds for entry in admitting):
             return admitting
-        places = [
-            Place(
-                one,
-                self._loads.total(one.instance_id),
-                self._loads.own(one.instance_id),
-                speeds.get(one.instance_id),
+        candidates = [
+            Candidate(
+                entry,
+                self._loads.total(entry.instance_id),
+                self._loads.own(entry.instance_id),
+                speeds.get(entry.instance_id),
                 request.kind.is_repeatable,
             )
-            for one in admitting
+            for entry in admitting
         ]
         preference = self.placement.prefer(
-            places, self._loads.unseen_count(), self._loads.fleet_per_s(), most_load
+            candidates, self._loads.unseen_count(), self._loads.fleet_per_s(), most_load
         )
         if preference.is_trial:
             self._measures.placed_by_speed("trial")
@@ -111,10 +111,10 @@
         return preference.entries
 
     def off_usual_count(self):
-        """Return the number of targets that measurably differ."""
+        """Return the number of targets that measurably deviate."""
         return self._view.off_usual_count()
 
     def forget(self, instance_id):
-        """Drop what is known of a target that is gone."""
+        """Drop the state of a target that is gone."""
         self._own.forget(instance_id)
         self._view.forget(instance_id)
--- a/siskinthread/load_control/_surges.py
+++ b/siskinthread/load_control/_surges.py
@@ -1,8 +1,8 @@
-"""Which requests belong to the surge of a client account."""
+"""Detects requests that belong to the traffic surge of a client account."""
 
 import math
 
-from siskinthread.load_control._arrivals import Arrivals
+from siskinthread.load_control._arrival_rates import ArrivalRates
 from siskinthread.observability import part_logger
 from siskinthread.timing import Deadline
 
@@ -10,26 +10,27 @@
 
 
 class Surges:
-    """Requests of accounts beyond what they may use while targets are nearly full.
+    """Detects accounts that exceed their allowance while targets are nearly full.
 
     Parameters
     ----------
     settings : LoadControlSettings
-        Memory of the rates.
+        Averaging times of the rates.
     clock : siskinthread.timing.Clock
         Clock of the rates.
     accounts : AccountShares
-        What accounts use now and usually.
-    news : LoadNews
-        How many hosts there are.
-    usual : UsualTimes
-        Time that requests take.
+        Current and usual load of the accounts.
+    peer_loads : PeerLoads
+        Ratio of the requests of all hosts to those of this host.
+    durations : ServiceDurations
+        Mean request durations.
 
     Notes
     -----
-    What an account has in flight tells of its surge only until it is held back, so that
-    it would be let through and held back in turns, and each time fill all slots before
-    hosts hear of it.  What it asks for tells all the time.
+    The requests of an account in flight show a surge only until its requests are
+    refused. By them alone, the account would be admitted and refused in turn, and each
+    time fill all slots before load reports show it. The requested rate shows the surge
+    throughout.
     """
 
     __slots__ = (
@@ -37,85 +38,89 @@
         "_accounts",
         "_arrivals",
         "_clock",
-        "_known",
-        "_news",
+        "_durations",
+        "_peer_loads",
         "_settings",
-        "_usual",
+        "_surge_expiries",
     )
 
-    def __init__(self, settings, clock, accounts, news, usual):
+    def __init__(self, settings, clock, accounts, peer_loads, durations):
         self._settings = settings
         self._clock = clock
-        # Until when a service counts as one that an account's surge goes to.
-        self._known = {}
+        # End of the period in which a service counts as receiving a surge.
+        self._surge_expiries = {}
         self._accounts = accounts
         memory_s = settings.surge_memory_s
-        self._arrivals = Arrivals(settings, memory_s, clock)
-        self._account_arrivals = Arrivals(settings, memory_s, clock)
-        self._news = news
-        self._usual = usual
+        self._arrivals = ArrivalRates(settings, memory_s, clock)
+        self._account_arrivals = ArrivalRates(settings, memory_s, clock)
+        self._peer_loads = peer_loads
+        self._durations = durations
 
     def note(self, request):
-        """Count a request of a caller."""
+        """Count an incoming request."""
         self._arrivals.note(request.service_name, request.priority)
         if request.account is not None:
             self._account_arrivals.note(request.account.name, request.priority)
 
     def is_surging(self, request):
-        """Return whether others go before the account of a request."""
+        """Return whether other accounts have precedence over that of a request."""
         if request.account is None:
             return False
         is_surging = self._accounts.is_surging(request.account.name)
         if not is_surging and self._settings.are_shares_used:
-            is_surging = self._is_asked_for(request)
+            is_surging = self._exceeds_requested_limit(request)
         if is_surging:
-            known = self._known.get(request.service_name)
-            if known is None or known.passed():
+            expiry = self._surge_expiries.get(request.service_name)
+            if expiry is None or expiry.passed():
                 _logger.event("account surges", surging_account=request.account.name)
             wait_s = self._settings.rate_memory_s
-            self._known[request.service_name] = Deadline.after(self._clock, wait_s)
+            self._surge_expiries[request.service_name] = Deadline.after(
+                self._clock, wait_s
+            )
         return is_surging
 
-    def is_known_at(self, service_name):
-        """Return whether others go before a surge that was lately asked for."""
+    def has_recent_surge(self, service_name):
+        """Return whether a service has recently received a surge."""
         if not self._settings.is_reserve_used:
             return False
-        known = self._known.get(service_name)
-        return known is not None and not known.passed()
+        expiry = self._surge_expiries.get(service_name)
+        return expiry is not None and not expiry.passed()
 
-    def _is_asked_for(self, request):
-        """Return whether callers ask for a surge of an account beside others.
+    def _exceeds_requested_limit(self, request):
+        """Return whether the requested rate of an account is a surge.
 
-        What an account may ask for grows with what the others ask for.
+        The limit of an account grows with the rate requested by other accounts.
         """
         name = request.account.name
-        asked = self._least_asked(request)
+        requested_count = self._min_requested_count(request)
         limit = self._accounts.surge_limit(name)
         usual_of_others = self._accounts.usual_of_others(name)
-        if asked <= limit or not usual_of_others:
+        if requested_count <= limit or not usual_of_others:
             return False
         others_per_s = self._arrivals.all_per_s(
             request.service_name
         ) - self._account_arrivals.all_per_s(name)
-        ratio = self._at_once(request, others_per_s) / usual_of_others
-        return asked > limit * max(1.0, ratio)
+        ratio = self._concurrent_count(request, others_per_s) / usual_of_others
+        return requested_count > limit * max(1.0, ratio)
 
-    def _least_asked(self, request):
-        """Return the requests at once that an account surely asks all hosts for.
+    def _min_requested_count(self, request):
+        """Return a lower bound of the concurrent requests of an account.
 
-        Its less urgent requests don't make a surge of its more urgent ones.
+        The bound covers the requested load at all hosts. Less urgent requests of the
+        account do not count towards a surge of its more urgent ones.
         """
         memory_s = self._settings.surge_memory_s
-        asked_per_s = self._account_arrivals.more_urgent_per_s(
+        requested_per_s = self._account_arrivals.more_urgent_per_s(
             request.account.name, request.priority + 1
         )
-        count = asked_per_s * memory_s
-        # A random number of requests exceeds its mean by two roots once in 40 times.
+        count = requested_per_s * memory_s
+        # A random number of requests exceeds its mean by two standard deviations, the
+        # root of the mean each, once in 40 times.
         least_per_s = max(0.0, count - 2 * math.sqrt(count)) / memory_s
-        return self._at_once(request, least_per_s)
+        return self._concurrent_count(request, least_per_s)
 
-    def _at_once(self, request, own_per_s):
-        """Return the requests at once that a rate at this host makes at all of them."""
-        usual_s = self._usual.time_s(request.service_name) or 0.0
-        factor = self._news.fleet_factor(request.service_name)
-        return own_per_s * factor * usual_s
+    def _concurrent_count(self, request, own_per_s):
+        """Return the concurrent requests at all hosts for a rate at this host."""
+        mean_s = self._durations.mean_s(request.service_name) or 0.0
+        factor = self._peer_loads.fleet_factor(request.service_name)
+        return own_per_s * factor * mean_s
--- a/siskinthread/load_control/_speed_evidence.py
+++ b/siskinthread/load_control/_target_measurements.py
@@ -1,4 +1,4 @@
-"""What a host has measured at one target, and the requests that it measures."""
+"""Measurements of one target by this host, and the requests measured."""
 
 import math
 
@@ -6,14 +6,14 @@
 from siskinthread.load_control._speed_statement import SpeedStatement
 
 
-class Evidence:
-    """What this host has measured at one target.
+class TargetMeasurements:
+    """Measurements of one target by this host.
 
     Attributes
     ----------
     low, high : DecayedMean
-        Logarithms of times relative to usual ones, where slots are free and where the
-        target is nearly full.
+        Logarithms of request durations relative to typical ones, where slots are free
+        and where the target is nearly full.
     failures : DecayedMean
         0 for each request that was served, 1 for each that failed.
     newest_s : float
@@ -29,13 +29,13 @@
         self.newest_s = -math.inf
 
     def decay(self, now_s):
-        """Let all weights decay until now, monotonic seconds."""
+        """Decay all weights until `now_s`, monotonic seconds."""
         self.low.decay(now_s)
         self.high.decay(now_s)
         self.failures.decay(now_s)
 
     def statement(self, now_s):
-        """Return the `SpeedStatement` of it."""
+        """Return the measurements as a `SpeedStatement`."""
         self.decay(now_s)
         return SpeedStatement(
             self.low.weight,
@@ -49,22 +49,22 @@
 
 
 class TimedRequest:
-    """A request at a target, whose time is measured.
+    """A request at a target, whose duration is measured.
 
     Parameters
     ----------
     speeds : TargetSpeeds
-        Learns of it.
+        Receives the measurements.
     service_name, instance_id : str
         Service and target.
     kind : tuple
-        What its usual time depends on.
+        Route and size class, on which the typical duration depends.
     started_s : float
-        When it began, monotonic seconds.
+        Start of the request, monotonic seconds.
     due_s : float
-        When it counts as overdue, monotonic seconds.
+        Time from which the request counts as overdue, monotonic seconds.
     load : float
-        Requests for each slot of the target, itself among them.
+        Requests per slot of the target, this request included.
     """
 
     __slots__ = (
@@ -86,21 +86,21 @@
         self.started_s = started_s
         self.due_s = due_s
         self.load = load
-        # When its first event came, monotonic seconds.
+        # Time of its first event, monotonic seconds.
         self.event_s = None
 
     def event_came(self):
-        """Note an event of a stream; the first one ends what its length varies."""
+        """Record an event of a stream; the first one ends the timing of its start."""
         if self.event_s is None:
             self.event_s = self._speeds.first_event(self)
 
     def ended(self, is_served, is_failed, event_count):
-        """Note its end.
+        """Record its end.
 
         Parameters
         ----------
         is_served : bool
-            Whether the target has served it as a whole.
+            Whether the target has answered it completely.
         is_failed : bool
             Whether the target failed it.
         event_count : int
--- a/siskinthread/load_control/_token_model.py
+++ b/siskinthread/load_control/_token_model.py
@@ -1,17 +1,17 @@
-"""What the targets of a service hold of requests, as operators publish it."""
+"""Token capacity of the targets of a service, as published by operators."""
 
 
 class TokenModel:
-    """Memory of a target, and the usual size of a request.
+    """Memory of a target, and the typical size of a request.
 
     Parameters
     ----------
     capacity : int
-        Tokens of prompts and answers that a target holds at once.
+        Maximum number of prompt and output tokens that a target holds at once.
     per_event : int
-        Tokens of each event of a stream.
+        Tokens in each event of a stream.
     usual_prompt, usual_output : int
-        Tokens of a usual prompt and a usual answer.
+        Tokens of a typical prompt and a typical output.
     """
 
     __slots__ = ("capacity", "per_event", "usual_output", "usual_prompt")
@@ -24,5 +24,5 @@
 
     @property
     def usual_size(self):
-        """Tokens of a usual request as a whole."""
+        """Tokens of a typical request, prompt and output together."""
         return self.usual_prompt + self.usual_output
--- a/siskinthread/load_control/_waiting.py
+++ b/siskinthread/load_control/_waiting.py
@@ -1,10 +1,10 @@
-"""Which requests wait for a target, until when, and which of them goes first.
+"""Decides which requests wait for a target, until when, and in which order.
 
-The load patterns: every group of a service is down for some seconds (a failure domain
-that is cut off, a release), and a shortage of slots that lasts some seconds.  A request
-that waits at the host is served as soon as a group opens; one that is refused costs its
-caller the only retry, and may come back before the end of the outage.  A caller leaves
-a stream that is silent, so that a wait beyond that serves nobody.
+All groups of a service may be down for some seconds (a failure domain that is cut off,
+a release), or slots may be scarce for some seconds. A request that waits at the host is
+served as soon as a group is usable again. A refusal would use up the only retry of the
+caller, which may come before the end of the outage. A caller abandons a stream that
+stays silent, so a longer wait has no benefit.
 """
 
 import bisect
@@ -17,7 +17,7 @@
 class WaitOrder(enum.Enum):
     """Which of the waiting requests of one priority goes first."""
 
-    # The one that must start first to end before its deadline.
+    # The request that must start first to meet its deadline.
     LATEST_START = "latest_start"
     FIRST_COME = "first_come"
     NEWEST_FIRST = "newest_first"
@@ -27,38 +27,37 @@
     """Why a request does not wait."""
 
     DISABLED = "disabled"
-    # So little time is left that the caller leaves, or no target can end it in time.
+    # The remaining time is too short for a wait and a response.
     TOO_LATE = "too_late"
-    # What it would wait for is expected to end when it can't be served any more.
+    # The outage or shortage is expected to end too late for a response in time.
     NOT_IN_TIME = "not_in_time"
-    # As many as may wait do so.
+    # The queue is full.
     NO_PLACE = "no_place"
 
 
 class WaitFacts:
-    """What the decision whether a request waits goes by.
+    """Input of the decision whether a request waits.
 
     Parameters
     ----------
     is_stream : bool
-        Whether its caller leaves if it hears nothing.
+        Whether its caller leaves if no event arrives.
     is_return : bool
-        Whether its caller was refused before, and has no further try.
+        Whether the request is a retry after a refusal, with no further retry left.
     came_at_s : float
-        When it came, monotonic seconds.
+        Arrival time, monotonic seconds.
     deadline : siskinthread.timing.Deadline
-        When its answer is due.
+        When its response is due.
     usual_s : float
-        How long a target takes for such a request, seconds.
+        Mean time that a target takes for such a request, seconds.
     expected_left_s : float
-        When what it would wait for is expected to end, seconds from now.
+        Expected rest of the outage or shortage, seconds from now.
     objective_s : float or None
-        Within what time its answer has its full value, if that is all that it may wait
-        for, seconds.
+        Latency objective of the response, seconds, if it limits the wait.
     is_late : bool
-        Whether its answer can't be in time for its objective any more.
+        Whether its response can't meet the objective any more.
     has_promise : bool
-        Whether its caller was promised a place when it comes back.
+        Whether its caller was promised a slot for the retry.
     """
 
     __slots__ = (
@@ -88,7 +87,7 @@
 
     @property
     def latest_start_at_s(self):
-        """When a target must have it for it to end in time, monotonic seconds."""
+        """Latest start at a target that meets the deadline, monotonic seconds."""
         return self.deadline.at_s - self.usual_s
 
 
@@ -98,7 +97,7 @@
     Parameters
     ----------
     settings : WaitingSettings
-        Longest waits.
+        Maximum waits.
     clock : siskinthread.timing.Clock
         Clock of the waits.
     """
@@ -112,9 +111,9 @@
     def decide(self, facts):
         """Return the `Deadline` of the wait for `WaitFacts`, or a `NoWait`.
 
-        A caller that has come back has no further try, so that a wait of which the
-        outcome is unsure costs it nothing; any other one is refused at once if what it
-        would wait for probably lasts too long.
+        A retried request has no further retry, so a wait of uncertain outcome costs its
+        caller nothing. Any other request is refused at once if the outage or shortage
+        is expected to last too long.
         """
         settings = self._settings
         if not settings.is_enabled:
@@ -129,7 +128,7 @@
         return Deadline(self._clock, until_s)
 
     def _longest_until_s(self, facts):
-        """Return until when the caller waits without hearing anything."""
+        """Return until when the caller waits without any event, monotonic seconds."""
         if facts.objective_s is not None:
             share = self._settings.urgent_wait_share
             return facts.came_at_s + share * facts.objective_s
@@ -140,18 +139,18 @@
 
 
 class Waiter:
-    """A request that waits.
+    """A waiting request.
 
     Parameters
     ----------
     service_name : str
-        Service that it goes to.
+        Service of the request.
     priority : int
         Rank of the request, 0 first.
     facts : WaitFacts
-        What was known when it began to wait.
+        State at the start of the wait.
     until : siskinthread.timing.Deadline
-        When it is refused.
+        When the request is refused.
     """
 
     __slots__ = ("facts", "key", "priority", "service_name", "until")
@@ -161,19 +160,19 @@
         self.priority = priority
         self.facts = facts
         self.until = until
-        # Set by the queue.
+        # Sort key, set by the queue.
         self.key = None
 
 
 class WaitQueue:
-    """The requests that wait, by service and in their order.
+    """The waiting requests, by service and in their order.
 
     Parameters
     ----------
     settings : WaitingSettings
-        The order, and how many may wait.
+        The order, and the maximum number of waiting requests.
     late_gives_way : bool
-        Whether requests that can still be in time go before those that can't.
+        Whether requests that can still meet their objective go before those that can't.
     """
 
     __slots__ = (
@@ -201,10 +200,10 @@
         return self._count < self._settings.places_limit
 
     def join(self, waiter):
-        """Add a waiter; its key is set by the order."""
+        """Add a waiter, and set its sort key."""
         waiter.key = self.key(waiter.priority, waiter.facts, next(self._numbers))
         waiters = self._waiters.setdefault(waiter.service_name, [])
-        bisect.insort(waiters, waiter, key=lambda one: one.key)
+        bisect.insort(waiters, waiter, key=lambda waiter: waiter.key)
         self._count += 1
 
     def leave(self, waiter):
@@ -216,27 +215,28 @@
             del self._waiters[waiter.service_name]
 
     def services(self):
-        """Return the names of the services that requests wait for."""
+        """Return the names of the services with waiting requests."""
         return list(self._waiters)
 
     def ordered(self, service_name):
-        """Return the waiters of a service, the first to go first."""
+        """Return the waiters of a service in their order."""
         return list(self._waiters.get(service_name, ()))
 
     def ahead_count(self, service_name, priority, facts):
-        """Return how many requests of a service go before one that comes now."""
+        """Return how many requests of a service go before a new one."""
         waiters = self._waiters.get(service_name)
         if not waiters:
             return 0
         key = self.key(priority, facts, next(self._numbers))
-        return bisect.bisect_left(waiters, key, key=lambda one: one.key)
+        return bisect.bisect_left(waiters, key, key=lambda waiter: waiter.key)
 
     def key(self, priority, facts, number):
-        """Return what a request is sorted by.
+        """Return the sort key of a request.
 
-        Urgent requests go first, then callers to whom a place was promised, then those
-        that can be in time, if late ones give way, then other callers that have come
-        back.  The number, in order of joining, makes keys unique.
+        The order is by priority, then by promise (callers with a promised slot first),
+        then, if late requests give way, requests that can meet their objective before
+        late ones, then retries before first attempts. The number, in order of joining,
+        makes keys unique.
         """
         rank = number
         if self._order is WaitOrder.LATEST_START:
--- a/siskinthread/load_control/tests/busy_hosts.py
+++ b/siskinthread/load_control/tests/busy_hosts.py
@@ -1,26 +1,26 @@
-"""Replays at hosts whose processes wait for a processor part of the time."""
+"""Simulations of hosts whose processes wait for a CPU part of the time."""
 
 import bisect
 import random
 
 from siskinthread.load_control.tests.replay import Replay
 
-# Longer than any replay of a burst.
+# Time for which waits are planned, seconds; longer than any simulated burst.
 PLANNED_S = 12.0
 
 
 class BusyHosts(Replay):
-    """A replay whose hosts take note of nothing while they wait for a processor.
+    """A replay whose hosts process no events while they wait for a CPU.
 
-    Targets go on: a slot comes free when its request ends, and its host learns of it
-    when the wait is over.
+    Targets continue to run: a slot becomes free when its request ends, and the host is
+    notified when its wait is over.
 
     Parameters
     ----------
     waiting_share : float
-        Part of the time that each host waits, below 1.
+        Fraction of the time that each host waits, below 1.
     wait_s : float
-        Mean length of a wait, seconds; lengths are drawn by chance for each host.
+        Mean length of a wait, seconds; lengths are drawn independently for each host.
     **shape
         Parameters of `Replay`.
     """
@@ -39,13 +39,13 @@
                 waits.append((from_s, until_s))
 
     def ask(self, kind, per_s, from_s, to_s, hosts=None):
-        """Let callers ask at a steady rate in a span of time."""
+        """Schedule requests at a constant rate between two times, seconds."""
         for number in range(round((to_s - from_s) * per_s)):
             at_s = from_s + number / per_s
             self.at(at_s, self._first_try, kind, hosts or self.hosts)
 
-    def _when_it_runs(self, host, act, *arguments):
-        """Do something at once, or when the host's present wait is over."""
+    def _run_or_defer(self, host, act, *arguments):
+        """Run a function at once, or when the current wait of the host is over."""
         now_s = self.now_s()
         waits = self._waits[host]
         index = bisect.bisect_right(waits, now_s, key=lambda wait: wait[0]) - 1
@@ -55,10 +55,10 @@
             act(*arguments)
 
     def _tell(self, host):
-        self._when_it_runs(host, super()._tell, host)
+        self._run_or_defer(host, super()._tell, host)
 
     def _try_at(self, host, *arguments):
-        self._when_it_runs(host, super()._try_at, host, *arguments)
+        self._run_or_defer(host, super()._try_at, host, *arguments)
 
     def _note_end(self, host, *arguments):
-        self._when_it_runs(host, super()._note_end, host, *arguments)
+        self._run_or_defer(host, super()._note_end, host, *arguments)
--- a/siskinthread/load_control/tests/compare_placement.py
+++ b/siskinthread/load_control/tests/compare_placement.py
@@ -1,28 +1,28 @@
-"""Print what each method of placement serves; run as a module, with host counts."""
+"""Prints the outcome of each placement method; run as a module, with host counts."""
 
 import sys
 
 from siskinthread.gateway import RequestKind
 from siskinthread.load_control.tests.speed_replay import (
-    four_times,
+    four_times_slower,
     METHODS,
     play,
     slow_when_nearly_full,
-    twelve_times_for_9_s,
-    usual,
+    twelve_times_slower_for_9_s,
+    typical,
 )
 
 CASES = {
-    "equal": ((usual, usual, usual), (1, 1, 1), {}),
-    "four": ((usual, usual, four_times), (1, 1, 0.25), {}),
-    "twelve": ((usual, usual, twelve_times_for_9_s), (1, 1, 0.41), {}),
-    "failing": ((usual, usual, usual), (1, 1, 1), {"failing": {2: 0.1}}),
+    "equal": ((typical, typical, typical), (1, 1, 1), {}),
+    "four": ((typical, typical, four_times_slower), (1, 1, 0.25), {}),
+    "twelve": ((typical, typical, twelve_times_slower_for_9_s), (1, 1, 0.41), {}),
+    "failing": ((typical, typical, typical), (1, 1, 1), {"failing": {2: 0.1}}),
     "failing once": (
-        (usual, usual, usual),
+        (typical, typical, typical),
         (1, 1, 1),
         {"failing": {2: 0.1}, "request_kind": RequestKind.ONCE},
     ),
-    "nearly full": ((usual, usual, slow_when_nearly_full), (1, 1, 0.67), {}),
+    "nearly full": ((typical, typical, slow_when_nearly_full), (1, 1, 0.67), {}),
 }
 SIZES = {"22 ms": (0.022, 0.15, 18 / 0.022), "60 ms": (0.06, 0.3, 18 / 0.06)}
 
--- a/siskinthread/load_control/tests/pass_replay.py
+++ b/siskinthread/load_control/tests/pass_replay.py
@@ -1,4 +1,4 @@
-"""Replays of streams at groups whose ranks run in lock-step."""
+"""Simulations of streams at groups whose ranks run in lock-step."""
 
 from siskinthread.gateway import RequestKind, Route, RouteTable, Service
 from siskinthread.group_maps import ExpertLayout, PassModel
@@ -12,7 +12,7 @@
 
 
 class StreamKind(Kind):
-    """Streams that are alike; for the parameters see `Kind`."""
+    """A kind of streams; see `Kind` for the parameters."""
 
     def __init__(self, name, priority, objective_s=0.4, **facts):
         super().__init__(name, priority, objective_s, **facts)
@@ -45,17 +45,17 @@
 
 
 class StreamReplay(Replay):
-    """Groups of targets, each pass of which gives every stream an event.
+    """Groups of targets; each forward pass yields one event per stream.
 
     Parameters
     ----------
     skews : dict of str to callable
-        By the name of each group, returns the time of its passes relative to evenly
-        loaded ranks at a time since the start, seconds.
+        By the name of each group, a function that returns the pass time relative to
+        that with evenly loaded ranks, at a time since the start, seconds.
     ranks, slots : int
         Targets of a group, and slots of each.
     pause_limit_s : float
-        Longest pause that callers permit, seconds.
+        Longest pause between events that callers permit, seconds.
     """
 
     def __init__(self, skews, ranks=8, slots=6, pause_limit_s=PAUSE_LIMIT_S, **shape):
@@ -77,14 +77,14 @@
             self.at(0.0, self._begin_pass, name)
 
     def steady_count(self, kind, from_s, to_s):
-        """Return how many streams of a kind were whole and had no long pause."""
+        """Return how many streams of a kind were complete without a long pause."""
         return sum(
             call.answered_at_s is not None and call.longest_pause_s <= PAUSE_LIMIT_S
             for call in self.calls_of(kind, from_s, to_s)
         )
 
     def late_count(self, from_s, to_s):
-        """Return how many streams had a pause longer than is permitted."""
+        """Return how many streams had a pause longer than permitted."""
         return sum(
             call.longest_pause_s > PAUSE_LIMIT_S
             for call in self.calls
--- a/siskinthread/load_control/tests/replay.py
+++ b/siskinthread/load_control/tests/replay.py
@@ -1,4 +1,4 @@
-"""Replays of scripted arrivals at hosts that choose targets as gateways do."""
+"""Discrete-event simulations of hosts that choose targets as gateways do."""
 
 import heapq
 import itertools
@@ -24,16 +24,18 @@
 
 
 class Kind:
-    """Requests that are alike.
+    """Requests with the same properties.
 
     Parameters
     ----------
     name : str
-        Name of its route.
+        Name of their route.
     priority : int
         Rank, 0 first.
     objective_s : float or None
-        Time within which an answer is in time, seconds.
+        Latency objective, seconds.
+    account : Account or None
+        Client account; None for a public route.
     request_kind : RequestKind
         Whether they may be repeated.
     facts : dict
@@ -66,7 +68,7 @@
 
 
 class Call:
-    """A caller's request over both of its tries."""
+    """A caller's request, including its retry."""
 
     def __init__(self, kind, at_s):
         self.kind = kind
@@ -78,7 +80,7 @@
 
     @property
     def took_s(self):
-        """Time from the first try to the answer, seconds; infinite without one."""
+        """Time from the first attempt to the response, seconds; infinite if none."""
         if self.answered_at_s is None:
             return float("inf")
         return self.answered_at_s - self.at_s
@@ -97,7 +99,7 @@
 
 
 class ToldPeers:
-    """The other hosts' requests as their latest news tell them."""
+    """The latest reports of the other hosts."""
 
     def __init__(self, hosts, own, interval_s):
         self._hosts = hosts
@@ -105,11 +107,11 @@
         self._interval_s = interval_s
 
     def has_fresh_loads(self):
-        """Tell that they count."""
+        """Return that the reports are current."""
         return True
 
     def is_crowded(self):
-        """Tell that all tell of their requests soon."""
+        """Return that all hosts report at the full rate."""
         return False
 
     def sharing_count(self):
@@ -117,11 +119,11 @@
         return len(self._hosts) - 1
 
     def told_interval_s(self):
-        """Return the time between two news of a host."""
+        """Return the time between two reports of a host, seconds."""
         return self._interval_s
 
     def counts(self, instance_id):
-        """Return the requests at a target as last told."""
+        """Return the last reported number of requests at a target."""
         return sum(
             host.told.get(instance_id, 0)
             for host in self._hosts
@@ -129,54 +131,54 @@
         )
 
     def excess_tokens(self):
-        """Return the tokens beyond the usual size by target as last told."""
+        """Return the last reported tokens beyond the typical size, by target."""
         sums = {}
         for host in self._hosts:
             if host is not self._own:
-                add_counts(sums, host.told_excess)
+                add_counts(sums, host.reported_excess)
         return sums
 
     def speeds(self):
-        """Return the speeds of targets as last told."""
+        """Return the last reported speeds of targets."""
         sums, now_s = {}, self._own.parts.clock.monotonic_s()
         for host in self._hosts:
             if host is not self._own:
-                by_s = now_s - host.told_at_s
-                aged = {one: s.aged(by_s) for one, s in host.told_speeds.items()}
+                by_s = now_s - host.reported_at_s
+                aged = {one: s.aged(by_s) for one, s in host.reported_speeds.items()}
                 add_speeds(sums, aged)
         return sums
 
     def account_counts(self):
-        """Return requests by account as last told."""
+        """Return the last reported requests by account."""
         sums = {}
         for host in self._hosts:
             if host is not self._own:
-                add_counts(sums, host.told_accounts)
+                add_counts(sums, host.reported_accounts)
         return sums
 
     def newest_pass(self, group):
-        """Return the newest pass of a group that a host has told, or None."""
+        """Return the newest reported pass of a group, or None."""
         told = [
-            (host.told_at_s, host.told_passes_s[group])
+            (host.reported_at_s, host.reported_passes_s[group])
             for host in self._hosts
-            if host is not self._own and group in host.told_passes_s
+            if host is not self._own and group in host.reported_passes_s
         ]
         if not told:
             return None
-        told_at_s, pass_s = max(told)
-        return pass_s, told_at_s
+        reported_at_s, pass_s = max(told)
+        return pass_s, reported_at_s
 
     def stalled_groups(self):
-        """Tell of none."""
+        """Return that no group is stalled."""
         return set()
 
     def slow_targets(self):
-        """Tell of none."""
+        """Return that no target is slow."""
         return set()
 
 
 class Host:
-    """One entry host: the parts of a gateway, and what it has told the others."""
+    """An entry host: the parts of a gateway, and its latest report to peers."""
 
     def __init__(self, settings, clock, seed, domain="a"):
         self.domain = domain
@@ -184,30 +186,34 @@
             settings, domain, None, clock, Metrics(), random.Random(seed)
         )
         self.told = {}
-        self.told_accounts = {}
-        self.told_passes_s = {}
-        self.told_excess = {}
-        self.told_speeds = {}
-        self.told_at_s = 0.0
+        self.reported_accounts = {}
+        self.reported_passes_s = {}
+        self.reported_excess = {}
+        self.reported_speeds = {}
+        self.reported_at_s = 0.0
 
 
 class Replay:
-    """Hosts and targets, on a clock that follows the events.
+    """Hosts and targets on a simulated clock.
 
     Parameters
     ----------
-    host_count, target_count, slots, queue : int
-        Their numbers; each target runs so many and lets so many wait.
+    host_count, target_count : int
+        Number of hosts and of targets.
+    slots, queue : int
+        Requests that a target runs, and that it queues.
     service_s : float
-        Time that a request takes at a target.
+        Duration of a request at a target, seconds.
     interval_s : float
-        Time between two news of a host.
+        Time between two reports of a host, seconds.
+    seed : int
+        Random seed.
     settings : dict
-        Those of load control that are not the usual ones.
+        Load control settings that differ from the defaults.
     speeds : dict
-        Those of the placement by speed that are not the usual ones.
+        Settings of the placement by speed that differ from the defaults.
     domains : tuple of str
-        Failure domains, over which hosts and targets are spread in turn.
+        Failure domains, to which hosts and targets are assigned in turn.
     """
 
     def __init__(
@@ -228,13 +234,13 @@
         self.service_s = service_s
         self.interval_s = interval_s
         self.calls = []
-        # Requests that a target declined for want of memory.
+        # Requests that a target declined for lack of memory.
         self.declined_count = 0
         self._start_s = self.clock.monotonic_s()
         self._events = []
         self._order = itertools.count()
         control = LoadControlSettings(**dict(settings))
-        # Admission alone is compared, with retry times of chance.
+        # Only admission is compared, so refused callers get random retry times.
         returns = ReturnSettings(is_enabled=False)
         gateway = GatewaySettings(
             load_control=control,
@@ -261,19 +267,19 @@
             self.at(1.0, self._sample, host)
 
     def at(self, at_s, act, *arguments):
-        """Do something at a time since the start, seconds."""
+        """Schedule a function at a time since the start, seconds."""
         event = (self._start_s + at_s, next(self._order), act, arguments)
         heapq.heappush(self._events, event)
 
     def ask(self, kind, per_s, from_s, to_s, hosts=None):
-        """Let callers ask at a rate in a span of time, spread by chance."""
+        """Schedule random requests at a mean rate between two times, seconds."""
         at_s = from_s + self.random.expovariate(per_s)
         while at_s < to_s:
             self.at(at_s, self._first_try, kind, hosts or self.hosts)
             at_s += self.random.expovariate(per_s)
 
     def run(self, to_s):
-        """Play until a time since the start, seconds."""
+        """Run until a time since the start, seconds."""
         while self._events and self._events[0][0] < self._start_s + to_s:
             at_s, _, act, arguments = heapq.heappop(self._events)
             self.clock.advance(at_s - self.clock.monotonic_s())
@@ -284,21 +290,21 @@
         return self.clock.monotonic_s() - self._start_s
 
     def calls_of(self, kind, from_s, to_s):
-        """Return the calls of a kind that were made first in a span of time."""
+        """Return the calls of a kind with the first attempt between two times."""
         return [c for c in self.calls if c.kind is kind and from_s <= c.at_s < to_s]
 
     def share_within(self, kind, limit_s, from_s, to_s):
-        """Return the part of them that was answered within a time of the first try."""
+        """Return the fraction of these calls answered within a time limit, seconds."""
         calls = self.calls_of(kind, from_s, to_s)
         return sum(call.took_s <= limit_s for call in calls) / len(calls)
 
     def answered_per_s(self, from_s, to_s):
-        """Return the answers per second in a span of time."""
+        """Return the responses per second between two times."""
         times_s = [one.answered_at_s for one in self.calls if one.answered_at_s]
         return sum(from_s <= one < to_s for one in times_s) / (to_s - from_s)
 
     def request(self, kind):
-        """Return a request of a kind that comes now."""
+        """Return a request of a kind that arrives now."""
         return GatewayRequest(
             None,
             b"",
@@ -312,11 +318,11 @@
 
     def _tell(self, host):
         host.told = host.parts.loads.own_counts()
-        host.told_accounts = host.parts.accounts.own_counts()
-        host.told_excess = host.parts.load_control.excess_tokens()
-        host.told_speeds = host.parts.load_control.speeds.statements()
-        host.told_passes_s = host.parts.progress.passes_s()
-        host.told_at_s = self.clock.monotonic_s()
+        host.reported_accounts = host.parts.accounts.own_counts()
+        host.reported_excess = host.parts.load_control.excess_tokens()
+        host.reported_speeds = host.parts.load_control.speeds.statements()
+        host.reported_passes_s = host.parts.progress.passes_s()
+        host.reported_at_s = self.clock.monotonic_s()
         self.at(self.now_s() + self.interval_s, self._tell, host)
 
     def _sample(self, host):
@@ -371,7 +377,7 @@
                 )
 
     def _has_memory(self, target, request):
-        """Return whether a target has memory for a request."""
+        """Return whether a target has free memory for a request."""
         return True
 
     def _note_sent(self, host, request, target):
--- a/siskinthread/load_control/tests/speed_replay.py
+++ b/siskinthread/load_control/tests/speed_replay.py
@@ -1,4 +1,4 @@
-"""Replays of targets of unequal speed, and methods of placement to compare with."""
+"""Simulations of targets of unequal speed, and placement methods to compare."""
 
 import math
 
@@ -13,71 +13,72 @@
 BEGIN_S, END_S = 4.0, 13.0
 
 
-def usual(now_s, running):
-    """Return the slowness of a target that is always as fast as others."""
+def typical(now_s, running):
+    """Return the slowness of a target of typical speed."""
     return 1.0
 
 
-def four_times(now_s, running):
-    """Return that of one that is always four times slower."""
+def four_times_slower(now_s, running):
+    """Return the slowness of a target that is always four times slower."""
     return 4.0
 
 
-def twelve_times_for_9_s(now_s, running):
-    """Return that of one that is 12 times slower for 9 s."""
+def twelve_times_slower_for_9_s(now_s, running):
+    """Return the slowness of a target that is 12 times slower for 9 s."""
     return 12.0 if BEGIN_S <= now_s < END_S else 1.0
 
 
 def slow_when_nearly_full(now_s, running):
-    """Return that of one that is slow with its last two slots."""
+    """Return the slowness of a target that is slow with its last two slots."""
     return 4.0 if running > 4 else 1.0
 
 
 class SpeedReplay(Replay):
-    """Hosts in three failure domains, and a target of each.
+    """Hosts in three failure domains, with one target in each.
 
     Parameters
     ----------
     slowness : sequence of callable
-        Of each target; takes the time since the start and the requests that it runs.
+        Slowness of each target as a function of the time since the start, seconds, and
+        its number of running requests.
     failing : dict of int to float
-        Part of the requests that targets fail, by their number.
-    late_s : float
-        Time until peers take what a host tells, seconds.
+        Fraction of the requests that targets fail, by target number.
+    report_delay_s : float
+        Time until peers receive the report of a host, seconds.
     """
 
-    def __init__(self, slowness, failing=(), late_s=0.1, **shape):
+    def __init__(self, slowness, failing=(), report_delay_s=0.1, **shape):
         self._slowness = dict(zip(map("i-{}".format, range(9)), slowness, strict=False))
         self._failing = {f"i-{number}": part for number, part in dict(failing).items()}
-        self._late_s = late_s
+        self._report_delay_s = report_delay_s
         self.served = dict.fromkeys(self._slowness, 0)
         shape = {"slots": 6, "queue": 6, "service_s": 0.022} | shape
         super().__init__(target_count=len(slowness), domains=DOMAINS, **shape)
 
-    def crowd(self):
-        """Let hosts hear soon of those of their own failure domain only."""
+    def use_domain_summaries(self):
+        """Let hosts receive frequent reports only from their own failure domain."""
         for host in self.hosts:
             parts = host.parts
-            peers = CrowdPeers(self.hosts, host, self.interval_s)
+            peers = DomainSummaryPeers(self.hosts, host, self.interval_s)
             parts.loads.peers = parts.load_control.speeds.peers = peers
             parts.accounts.peers = peers
 
-    def place_by(self, build):
-        """Let all hosts place by a method, built as `SpeedPlacement` is."""
+    def use_placement(self, build):
+        """Let all hosts use a placement method, built like `SpeedPlacement`."""
         for host in self.hosts:
             parts = host.parts
             speeds = parts.load_control.speeds
             speeds.placement = build(parts.settings.speeds, parts.clock, parts.random)
 
     def _tell(self, host):
-        before = host.told, host.told_speeds
+        before = host.told, host.reported_speeds
         super()._tell(host)
-        told = host.told, host.told_speeds
-        host.told, host.told_speeds = before
-        self.at(self.now_s() + self._late_s, self._hear, host, told)
+        told = host.told, host.reported_speeds
+        host.told, host.reported_speeds = before
+        self.at(self.now_s() + self._report_delay_s, self._deliver, host, told)
 
-    def _hear(self, host, told):
-        host.told, host.told_speeds = told
+    def _deliver(self, host, told):
+        host.told, host.reported_speeds = told
 
     def _attempt(self, host, request, call):
         call.domain = host.domain
@@ -117,73 +118,73 @@
 
 
 class LeastTime(SpeedPlacement):
-    """Takes the target with the least expected time, however old loads are."""
+    """Prefers the target with the shortest expected time at any age of the loads."""
 
-    def prefer(self, places, unseen_count, fleet_per_s, most_load=1.0):
+    def prefer(self, candidates, unseen_count, fleet_per_s, most_load=1.0):
         """Return the `Preference` among some targets; see `SpeedPlacement.prefer`."""
-        return super().prefer(places, 0.0, fleet_per_s, most_load)
+        return super().prefer(candidates, 0.0, fleet_per_s, most_load)
 
 
-class CrowdPeers(ToldPeers):
-    """Peers of which only those of the own failure domain tell soon.
+class DomainSummaryPeers(ToldPeers):
+    """Peers of which only those of the own failure domain report frequently.
 
-    Each other domain tells a sum of its loads and speeds once a second.
+    Each other domain reports a sum of its loads and speeds once per second.
     """
 
     def __init__(self, hosts, own, interval_s):
         self._near = [one for one in hosts if one.domain == own.domain]
         self._far = [one for one in hosts if one.domain != own.domain]
         super().__init__(self._near, own, interval_s * len(self._near) / 8)
-        self._sum_at_s = -math.inf
+        self._summary_at_s = -math.inf
         self._counts = {}
         self._speeds = {}
 
     def is_crowded(self):
-        """Tell that there are many hosts."""
+        """Return that there are too many hosts for frequent reports of all."""
         return True
 
     def counts(self, instance_id):
-        """Return the requests at a target as last told."""
+        """Return the last reported number of requests at a target."""
         self._take_sums()
         return super().counts(instance_id) + self._counts.get(instance_id, 0)
 
     def speeds(self):
-        """Return the speeds of targets as last told."""
+        """Return the last reported speeds of targets."""
         self._take_sums()
-        by_s = self._own.parts.clock.monotonic_s() - self._sum_at_s
+        by_s = self._own.parts.clock.monotonic_s() - self._summary_at_s
         sums = {one: told.aged(by_s) for one, told in self._speeds.items()}
         add_speeds(sums, super().speeds())
         return sums
 
     def _take_sums(self):
         now_s = self._own.parts.clock.monotonic_s()
-        if now_s - self._sum_at_s < 1.0:
+        if now_s - self._summary_at_s < 1.0:
             return
-        self._sum_at_s = now_s
+        self._summary_at_s = now_s
         self._counts, self._speeds = {}, {}
         for host in self._far:
             add_counts(self._counts, host.told)
-            add_speeds(self._speeds, host.told_speeds)
+            add_speeds(self._speeds, host.reported_speeds)
 
 
 class TwoCandidates(SpeedPlacement):
-    """Draws two targets by their speed, and prefers the one with less expected time."""
+    """Draws two targets by speed, and prefers the one expected to be faster."""
 
-    def prefer(self, places, unseen_count, fleet_per_s, most_load=1.0):
+    def prefer(self, candidates, unseen_count, fleet_per_s, most_load=1.0):
         """Return the `Preference` among some targets; see `SpeedPlacement.prefer`."""
-        weights = [1 / self.unseen_time(one) for one in places]
-        drawn = self._random.choices(places, weights, k=2)
-        best = min(drawn, key=lambda one: self.time(one, one.count))
+        weights = [1 / self.time_at_unknown_load(one) for one in candidates]
+        drawn = self._random.choices(candidates, weights, k=2)
+        best = min(drawn, key=lambda one: self.expected_time(one, one.count))
         return Preference([best.entry])
 
 
 class SpeedShares(SpeedPlacement):
     """Draws a target in proportion to its speed."""
 
-    def prefer(self, places, unseen_count, fleet_per_s, most_load=1.0):
+    def prefer(self, candidates, unseen_count, fleet_per_s, most_load=1.0):
         """Return the `Preference` among some targets; see `SpeedPlacement.prefer`."""
-        weights = [1 / self.unseen_time(one) for one in places]
-        return Preference([self._random.choices(places, weights)[0].entry])
+        weights = [1 / self.time_at_unknown_load(one) for one in candidates]
+        return Preference([self._random.choices(candidates, weights)[0].entry])
 
 
 METHODS = {
@@ -196,7 +197,7 @@
 
 
 class Outcome:
-    """What the requests of a replay got in a span of time."""
+    """Outcome of the requests of a replay between two times."""
 
     def __init__(self, replay, kind, from_s, to_s, speeds):
         calls = replay.calls_of(kind, from_s, to_s)
@@ -225,7 +226,7 @@
         self.worst_domain = min(sum(one) / len(one) for one in by_domain)
 
     def __str__(self):
-        """Describe it in a line."""
+        """Return the outcome as a line of text."""
         return (
             f"in time {self.in_time:.4f}  refused {self.refused:.4f}  "
             f"lost {self.lost:.4f}  "
@@ -249,9 +250,9 @@
         **shape,
     )
     if is_crowded:
-        replay.crowd()
+        replay.use_domain_summaries()
     if METHODS[method] is not None:
-        replay.place_by(METHODS[method])
+        replay.use_placement(METHODS[method])
     replay.ask(kind, per_s, 0.0, to_s)
     replay.run(to_s + 3.0)
     return Outcome(replay, kind, 0.0, to_s, speeds)
--- a/siskinthread/load_control/tests/test_busy_hosts.py
+++ b/siskinthread/load_control/tests/test_busy_hosts.py
@@ -1,4 +1,4 @@
-"""A burst of less urgent requests at hosts that wait for a processor."""
+"""Tests a burst of less urgent requests at hosts that wait for a CPU."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def play(waiting_share, wait_s, seed):
-    """Return the urgent requests in time and the capacity used in a burst, as parts."""
+    """Return the fractions of urgent requests in time and of capacity used."""
     replay = BusyHosts(waiting_share, wait_s, seed)
     urgent, draft = Kind("urgent", 0, 0.4), Kind("draft", 2, 0.8)
     replay.ask(urgent, 24, 0.0, BURST_S[1] + 0.5)
@@ -21,10 +21,10 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_waits_shorter_than_news_cost_a_burst_little(seed):
-    """Guards against decisions that hold only for hosts that run at once.
+def test_waits_shorter_than_the_report_interval_cost_little(seed):
+    """Guards against decisions that hold only for hosts that never wait.
 
-    Waits of 20 ms are a fifth of the time between two news of a host.
+    Waits of 20 ms are a fifth of the time between two load reports of a host.
     """
     urgent_share, used_share = play(0.4, 0.02, seed)
     assert urgent_share >= 0.95
--- a/siskinthread/load_control/tests/test_pass_replay.py
+++ b/siskinthread/load_control/tests/test_pass_replay.py
@@ -1,4 +1,4 @@
-"""Replays of streams at groups whose passes grow with each of them."""
+"""Tests admission to groups whose passes grow with each stream."""
 
 import pytest
 
@@ -12,17 +12,17 @@
 
 
 def steady(skew):
-    """Return a skew that stays."""
+    """Return a constant skew."""
     return lambda now_s: skew
 
 
 def shifting(offset_s):
-    """Return a skew that is high for the first second of each four."""
+    """Return a skew that is high for the first second of every four."""
     return lambda now_s: 2.6 if (now_s + offset_s) % 4 < 1 else 1.2
 
 
 def play(skews, settings, urgent_per_s, draft_per_s=0, **shape):
-    """Return how many streams had no long pause, by kind, and how many had one."""
+    """Return the streams without a long pause, by kind, and those with one."""
     replay = StreamReplay(skews, settings=settings, host_count=6, **shape)
     urgent, draft = StreamKind("urgent", 0), StreamKind("draft", 2, 0.8)
     replay.ask(urgent, urgent_per_s, 0.0, TO_S)
@@ -34,7 +34,7 @@
 
 
 def test_further_streams_do_not_make_all_of_a_skewed_group_late():
-    """Free slots were filled until each pass took longer than callers permit."""
+    """Guards against filling free slots until passes exceed the permitted pause."""
     good, _, late = play({"a": steady(2.2)}, WITHOUT, 40)
     assert late > 5 * good
     good_now, _, late = play({"a": steady(2.2)}, WITH, 40)
@@ -43,7 +43,7 @@
 
 
 def test_streams_go_to_the_group_whose_passes_are_short():
-    """A skewed group was filled like one that had room for more streams."""
+    """Guards against filling an unbalanced group like one that has capacity left."""
     skews = {"a": steady(2.2), "b": steady(1.2)}
     good, _, late = play(skews, WITHOUT, 60)
     good_now, _, late_now = play(skews, WITH, 60)
@@ -52,7 +52,10 @@
 
 
 def test_less_urgent_streams_do_not_make_urgent_ones_late():
-    """Pauses over 120 ms made urgent and less urgent streams late alike."""
+    """Guards against less urgent streams that lengthen passes beyond 120 ms.
+
+    Urgent and less urgent streams were then equally late.
+    """
     urgent, urgent_now = 0, 0
     for seed in (1, 2, 3):
         urgent += play({"a": steady(2.0)}, ALL_OFF, 10, 40, seed=seed)[0]
@@ -65,7 +68,7 @@
 
 
 def play_shifts(skews, settings):
-    """Return the sums over three seeds of streams without and with a long pause."""
+    """Return the streams without and with a long pause, summed over three seeds."""
     played = [play(skews, settings, 30 * len(skews), seed=seed) for seed in (1, 2, 3)]
     return sum(one[0] for one in played), sum(one[2] for one in played)
 
@@ -74,7 +77,10 @@
     "skews", [{"a": shifting(0)}, {"a": shifting(0), "b": shifting(2)}]
 )
 def test_shifts_of_the_demand_make_fewer_streams_late(skews):
-    """Groups were filled while their passes were long; waves met at other times."""
+    """Guards against filling groups while an unbalanced expert map makes passes long.
+
+    The groups of the second case are unbalanced at different times.
+    """
     good, late = play_shifts(skews, WITHOUT)
     good_now, late_now = play_shifts(skews, WITH)
     assert good_now > good
@@ -82,7 +88,11 @@
 
 
 def test_single_long_pass_closes_no_group():
-    """A change of the map holds one pass, which is over before a first event."""
+    """Guards against closing a group for a single long pass.
+
+    A change of the map delays one pass, which is over before the first event of a new
+    stream.
+    """
 
     def held(now_s):
         return 5.0 if now_s % 5 < LONG_PASS_S else 1.2
@@ -91,7 +101,7 @@
 
 
 def test_streams_without_a_permitted_pause_are_admitted_as_before():
-    """A bound that nobody asks for would only refuse streams."""
+    """Guards against refusing streams by a pass limit where no pause is permitted."""
     replays = []
     for settings in (WITHOUT, WITH):
         replay = StreamReplay(
--- a/siskinthread/load_control/tests/test_reserve_replay.py
+++ b/siskinthread/load_control/tests/test_reserve_replay.py
@@ -1,4 +1,4 @@
-"""Replays of bursts: what urgent requests get, and what the others keep."""
+"""Tests which requests are served during bursts."""
 
 import pytest
 
@@ -22,25 +22,28 @@
 
 
 def share_in_time(replay, kind):
-    """Return the part of a kind's calls of the burst that was answered in time."""
+    """Return the fraction of a kind's calls in the burst answered in time."""
     return replay.share_within(kind, kind.route.objective_s, *BURST_S)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_burst_of_less_urgent_requests_leaves_urgent_ones_their_slots(seed):
-    """Of the urgent requests in a burst 0.16 were answered in time."""
+    """Guards against a burst that takes all slots: 0.16 of urgent requests in time."""
     replay, urgent, _ = play_burst(WITHOUT, seed)
     assert share_in_time(replay, urgent) < 0.3
     replay, urgent, draft = play_burst(seed=seed)
     assert share_in_time(replay, urgent) >= 0.95
     used = replay.answered_per_s(BURST_S[0] + 0.5, BURST_S[1]) / SERVED_PER_S
     assert used >= 0.85
-    # The slots that urgent requests leave are for the burst.
+    # The burst gets the slots that urgent requests leave.
     assert share_in_time(replay, draft) >= 0.1
 
 
 def test_burst_at_targets_five_times_slower_leaves_urgent_requests_their_slots():
-    """Slots came free at a fifth of the rate, and the burst took each of them."""
+    """Guards against a burst that takes each slot of slow targets.
+
+    Slots become free at a fifth of the rate.
+    """
     shape = {"service_s": 1.0, "urgent_per_s": 5, "draft_per_s": 48}
     replay, urgent, _ = play_burst(WITHOUT, **shape)
     assert share_in_time(replay, urgent) < 0.5
@@ -50,7 +53,10 @@
 
 
 def test_hosts_do_not_all_fill_the_slots_that_have_just_come_free():
-    """In heavy overload 0.85 of the slots were used, and others had queues."""
+    """Guards against several hosts that fill the same reported free slot.
+
+    In heavy overload, 0.85 of the slots were used while the others had queues.
+    """
     used = []
     for settings in (WITHOUT, {}):
         replay = Replay(settings=settings)
@@ -62,7 +68,7 @@
 
 
 def test_requests_alike_are_served_as_without_a_reserve():
-    """A reserve that nobody may use would only refuse requests."""
+    """Guards against a reserve while all requests have the same priority."""
     taken = []
     for settings in (WITHOUT, {"are_shares_used": False}):
         replay = Replay(settings=settings)
@@ -73,7 +79,7 @@
 
 
 def test_reserve_ends_with_the_urgent_requests():
-    """Slots stay free for urgent requests that nobody asks for any more."""
+    """Guards against a reserve for urgent requests that no longer arrive."""
     replay = Replay(settings={"are_shares_used": False})
     draft = Kind("draft", 2, 0.8)
     replay.ask(Kind("urgent", 0, 0.4), 24, 0.0, 2.0)
@@ -86,7 +92,7 @@
 
 
 def others_in_time(settings, surge_per_s):
-    """Return the part of nine accounts' requests served in time beside a tenth."""
+    """Return the fraction in time of the requests of nine accounts beside a tenth."""
     replay = Replay(target_count=8, settings=settings)
     kinds = [Kind(f"k-{n}", 1, 0.4, Account(f"a-{n}")) for n in range(10)]
     for kind in kinds:
@@ -100,10 +106,11 @@
 
 
 def test_surge_of_one_account_costs_the_others_little():
-    """One account asks for 16 times its usual; 0.65 of the others' were in time.
+    """Guards against a surge of one account to 16 times its usual rate.
 
-    It was let through and held back in turns, since what it had in flight told of its
-    surge only until it was held back.
+    Judged by its requests in flight, the account was admitted and refused in turn,
+    since these show a surge only until requests are refused; 0.65 of the others'
+    requests were in time.
     """
     assert others_in_time(WITHOUT, surge_per_s=120) < 0.75
     calm = others_in_time({}, surge_per_s=0)
@@ -111,7 +118,7 @@
 
 
 def test_burst_of_all_accounts_is_no_surge_of_any():
-    """Slots would stay free while each account asks for more than its usual."""
+    """Guards against idle slots while all accounts exceed their usual rate."""
     replay = Replay(settings={"is_reserve_used": False})
     kinds = [Kind(f"k-{n}", 1, 0.4, Account(f"a-{n}")) for n in range(10)]
     for kind in kinds:
@@ -124,7 +131,7 @@
 
 
 def test_callers_at_one_host_leave_the_slots_of_others_in_use():
-    """The reserve was scaled to all hosts although callers asked only one."""
+    """Guards against a reserve scaled to all hosts although callers use only one."""
     replay = Replay()
     urgent, draft = Kind("urgent", 0, 0.4), Kind("draft", 2, 0.8)
     replay.ask(urgent, 24, 0.0, BURST_S[1], replay.hosts[:1])
@@ -136,7 +143,7 @@
 
 
 def test_urgent_requests_do_not_wait_where_targets_have_no_queue():
-    """Full targets declined them, as if nothing had been reserved."""
+    """Guards against queueing at full targets that decline urgent requests instead."""
     replay, urgent, _ = play_burst(WITHOUT, queue=0)
     assert share_in_time(replay, urgent) < 0.3
     replay, urgent, _ = play_burst(queue=0)
--- a/siskinthread/load_control/tests/test_size_replay.py
+++ b/siskinthread/load_control/tests/test_size_replay.py
@@ -1,4 +1,4 @@
-"""Replays of requests of different sizes at targets with memory for some."""
+"""Tests requests of different sizes at targets with limited memory."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from siskinthread.load_control.tests.replay import Kind, Replay, SERVICE
 
 WITHOUT = {"are_sizes_used": False}
-NOTHING_KEPT = {"kept_limit_share": 0.0}
+NOTHING_RESERVED = {"kept_limit_share": 0.0}
 CAPACITY = 5000
 PER_EVENT = 4
 OUTPUT_EVENTS = 23
@@ -16,7 +16,7 @@
 
 
 class SizeReplay(Replay):
-    """Targets that decline requests for which they have no memory."""
+    """Targets that decline requests for which they have no free memory."""
 
     def __init__(self, capacity=CAPACITY, **shape):
         super().__init__(target_count=8, slots=6, queue=0, service_s=1.5, **shape)
@@ -28,7 +28,7 @@
             host.parts.load_control.take_table(table)
 
     def served_share(self, kind):
-        """Return the part of a kind's requests that was served."""
+        """Return the fraction of a kind's requests that was served."""
         return self.share_within(kind, 8.0, FROM_S, TO_S)
 
     def _size(self, kind):
@@ -50,7 +50,7 @@
 
 
 def play(settings, small_per_s, large_per_s, large_prompt=3000, **shape):
-    """Return the parts of small and large requests that were served, and the replay."""
+    """Return the fractions of small and large requests served, and the replay."""
     replay = SizeReplay(settings=settings, **shape)
     small = Kind("small", 1, token_counts=TokenCounts(700, 400))
     large = Kind("large", 1, token_counts=TokenCounts(large_prompt, 400))
@@ -63,32 +63,33 @@
 
 
 def test_large_requests_are_not_sent_where_they_do_not_fit():
-    """Targets with free slots declined hundreds of them for want of memory.
+    """Guards against sending large requests to targets without free memory.
 
-    Hosts tell the tokens of large requests beyond the usual size.  What is left are
-    those of which two hosts have not heard of each other's.
+    Targets with free slots declined hundreds of them. Hosts report the tokens of large
+    requests beyond the typical size; the remaining declines are due to requests of two
+    hosts that have not received each other's report.
     """
     before = play(WITHOUT, 18, 3)[2].declined_count
-    assert play(NOTHING_KEPT, 18, 3)[2].declined_count < 0.15 * before
+    assert play(NOTHING_RESERVED, 18, 3)[2].declined_count < 0.15 * before
 
 
 def mean_shares(settings, rates):
-    """Return the mean parts of small and large requests served over three seeds."""
+    """Return the mean fractions of small and large requests served over three seeds."""
     played = [play(settings, *rates, seed=seed) for seed in (1, 2, 3)]
     return sum(one[0] for one in played) / 3, sum(one[1] for one in played) / 3
 
 
 @pytest.mark.parametrize("rates", [(18, 3), (27, 3), (36, 4)])
 def test_largest_tenth_is_not_starved(rates):
-    """Small requests took each slot before there was memory for a large one."""
-    small, large = mean_shares(NOTHING_KEPT, rates)
+    """Guards against small requests that take each slot before a large one fits."""
+    small, large = mean_shares(NOTHING_RESERVED, rates)
     assert large < 0.75 * small
     small, large = mean_shares({}, rates)
     assert large > 0.5 * small
 
 
 def test_nothing_is_refused_for_its_size_while_it_fits():
-    """Memory is bounded by what answers have, not by what they may have at most."""
+    """Guards against memory bounds by the maximum output instead of the typical one."""
     small, _, replay = play({}, 24, 0)
     causes = {cause for call in replay.calls for cause in call.causes}
     assert BindingCause.NO_MEMORY not in causes
@@ -97,7 +98,7 @@
 
 
 def test_request_that_fits_no_target_goes_to_one_that_holds_nothing():
-    """A published capacity that is too small would close the service."""
+    """Guards against a published capacity that is too small and closes the service."""
     served, _, _ = play({}, 2, 0, capacity=100)
     assert served == 0.0
     replay = SizeReplay(capacity=100)
@@ -110,7 +111,7 @@
 
 
 def test_requests_without_token_counts_are_admitted_as_before():
-    """Callers need not state them."""
+    """Guards against memory bounds on requests without token counts."""
     replays = []
     for settings in (WITHOUT, {}):
         replay = SizeReplay(settings=settings)
--- a/siskinthread/load_control/tests/test_speed_replay.py
+++ b/siskinthread/load_control/tests/test_speed_replay.py
@@ -1,4 +1,4 @@
-"""Replays of targets of unequal speed, against the choice by load alone."""
+"""Tests the placement by speed against the placement by load alone."""
 
 import random
 
@@ -11,13 +11,13 @@
 from siskinthread.load_control.tests.pass_replay import StreamKind, StreamReplay
 from siskinthread.load_control.tests.replay import Kind
 from siskinthread.load_control.tests.speed_replay import (
-    four_times,
+    four_times_slower,
     Outcome,
     play,
     slow_when_nearly_full,
     SpeedReplay,
-    twelve_times_for_9_s,
-    usual,
+    twelve_times_slower_for_9_s,
+    typical,
 )
 
 EQUAL = (1, 1, 1)
@@ -27,7 +27,7 @@
 def answers(is_enabled, host_count, per_s, seed):
     """Return when each request was answered by targets of equal speed."""
     replay = SpeedReplay(
-        (usual, usual, usual),
+        (typical, typical, typical),
         host_count=host_count,
         seed=seed,
         speeds={"is_enabled": is_enabled},
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("host_count", [1, 12])
 @pytest.mark.parametrize("per_s", [60, 245, 400, 900])
 def test_choice_among_equal_targets_is_that_by_load(host_count, per_s):
-    """Deployments with equal targets got other targets than before."""
+    """Guards against another choice among equal targets than by load."""
     for seed in (1, 2):
         assert answers(True, host_count, per_s, seed) == answers(
             False, host_count, per_s, seed
@@ -48,7 +48,7 @@
 
 
 def test_choice_among_equal_groups_is_that_by_load():
-    """The same for groups, whose passes differ by their loads."""
+    """Guards against the same for groups, whose passes differ with their loads."""
     played = []
     for is_enabled in (True, False):
         skews = {"a": lambda now_s: 1.2, "b": lambda now_s: 1.2}
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_each_choice_among_equal_targets_is_that_by_load(seed):
-    """Choice by choice, over loads, failures, repeats and hosts that come and go."""
+    """Guards against any deviating choice, over loads, repeats and excluded targets."""
     chosen = []
     for is_enabled in (True, False):
         draw = random.Random(seed)
@@ -95,16 +95,19 @@
 @pytest.mark.parametrize(
     ("slowness", "failing", "least"),
     [
-        ((usual, usual, four_times), {}, 0.985),
-        ((usual, usual, twelve_times_for_9_s), {}, 0.95),
-        ((usual, usual, slow_when_nearly_full), {}, 0.965),
-        ((usual, usual, usual), {2: 0.1}, 0.985),
+        ((typical, typical, four_times_slower), {}, 0.985),
+        ((typical, typical, twelve_times_slower_for_9_s), {}, 0.95),
+        ((typical, typical, slow_when_nearly_full), {}, 0.965),
+        ((typical, typical, typical), {2: 0.1}, 0.985),
     ],
 )
 def test_requests_are_in_time_beside_a_slow_target(
     slowness, failing, least, host_count
 ):
-    """By load alone up to 0.17 were late, as a slow target was filled like others."""
+    """Guards against a slow target that gets as many requests as the others.
+
+    With the choice by load alone, up to 0.17 of the requests were late.
+    """
     outcome = play("kept", slowness, CALM_PER_S, EQUAL, host_count, failing=failing)
     by_load = play("load", slowness, CALM_PER_S, EQUAL, host_count, failing=failing)
     assert outcome.in_time >= max(least, by_load.in_time - 0.005)
@@ -112,8 +115,11 @@
 
 
 def test_domain_of_a_slow_target_is_served_like_others_where_there_are_many_hosts():
-    """Of the requests of its hosts 0.12 were late, as they preferred the nearest."""
-    slowness = (usual, usual, twelve_times_for_9_s)
+    """Guards against hosts that prefer the nearest target although it is slow.
+
+    Of the requests of hosts in its failure domain, 0.12 were late.
+    """
+    slowness = (typical, typical, twelve_times_slower_for_9_s)
     outcome = play("kept", slowness, CALM_PER_S, EQUAL, 62, is_crowded=True)
     by_load = play("load", slowness, CALM_PER_S, EQUAL, 62, is_crowded=True)
     assert by_load.worst_domain < 0.9
@@ -121,8 +127,8 @@
 
 
 def test_many_hosts_choose_among_equal_targets_by_load():
-    """The choice of hosts that hear soon of near ones only was not the former one."""
-    shape = {"slowness": (usual,) * 3, "per_s": 368, "speeds": EQUAL}
+    """Guards against another choice where only near hosts report frequently."""
+    shape = {"slowness": (typical,) * 3, "per_s": 368, "speeds": EQUAL}
     one, other = (
         play(method, host_count=62, is_crowded=True, to_s=6.0, **shape)
         for method in ("load", "kept")
@@ -131,28 +137,31 @@
 
 
 @pytest.mark.parametrize("late_s", [1.0, 99.0])
-def test_hosts_without_fresh_news_find_a_slow_target_themselves(late_s):
-    """Old or lost news left 0.06 to 0.29 of the requests late."""
-    slowness = (usual, usual, twelve_times_for_9_s)
-    outcome = play("kept", slowness, CALM_PER_S, EQUAL, 12, late_s=late_s)
+def test_hosts_without_current_reports_find_a_slow_target_themselves(late_s):
+    """Guards against dependence on peers to detect a slow target.
+
+    With old or lost reports, 0.06 to 0.29 of the requests were late.
+    """
+    slowness = (typical, typical, twelve_times_slower_for_9_s)
+    outcome = play("kept", slowness, CALM_PER_S, EQUAL, 12, report_delay_s=late_s)
     assert outcome.in_time >= 0.95
 
 
 def test_requests_that_may_run_once_avoid_a_target_that_fails_a_tenth():
-    """Each one that it failed was lost, though its health check passed."""
+    """Guards against losing requests at a failing target whose health check passes."""
     faults = {"failing": {2: 0.1}, "request_kind": RequestKind.ONCE}
-    usual_ones = (usual, usual, usual)
+    typical_targets = (typical, typical, typical)
     for host_count in (1, 62):
         lost = [
-            play(method, usual_ones, CALM_PER_S, EQUAL, host_count, **faults).lost
+            play(method, typical_targets, CALM_PER_S, EQUAL, host_count, **faults).lost
             for method in ("load", "kept")
         ]
         assert lost[1] <= 0.85 * lost[0]
 
 
 def test_recovered_target_is_used_again():
-    """It was left out for good, or until all hosts tried it at once."""
-    replay = SpeedReplay((usual, usual, twelve_times_for_9_s), host_count=12)
+    """Guards against a recovered target that is never used, or tried by all at once."""
+    replay = SpeedReplay((typical, typical, twelve_times_slower_for_9_s), host_count=12)
     kind = Kind("small", 1, 0.15)
     replay.ask(kind, CALM_PER_S, 0.0, 20.0)
     replay.run(14.0)
@@ -163,7 +172,10 @@
 
 
 def test_streams_go_to_the_group_with_shorter_passes():
-    """A slow group got as many streams as a fast one, and most of them paused."""
+    """Guards against a slow group that gets as many streams as a fast one.
+
+    Most of its streams then had long pauses.
+    """
     steady = []
     for is_enabled in (False, True):
         skews = {"a": lambda now_s: 2.2, "b": lambda now_s: 1.0}
--- a/siskinthread/load_control/tests/test_waiting.py
+++ b/siskinthread/load_control/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Which requests wait, until when and in which order."""
+"""Tests which requests wait, until when and in which order."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 def facts(clock, left_s=8.0, stream=True, is_return=False, usual_s=2.0, ends_in_s=0.0):
-    """Return what is known of a request that comes now."""
+    """Return the `WaitFacts` of a request that arrives now."""
     return WaitFacts(
         stream,
         is_return,
@@ -37,28 +37,28 @@
     return decision if isinstance(decision, NoWait) else round(decision.left_s(), 3)
 
 
-def test_stream_that_waits_is_left_by_its_caller():
-    """Symptom: a wait of more than 1.5 s; callers leave a silent stream after 2 s."""
+def test_stream_wait_ends_before_its_caller_leaves():
+    """Guards against waits over 1.5 s; callers abandon a silent stream after 2 s."""
     assert decide(ManualClock()) == 1.5
     assert decide(ManualClock(), left_s=3.0) == 1.0
 
 
 def test_other_requests_wait_for_a_third_of_their_time():
-    """Symptom: a wait that leaves the caller no time to come back."""
+    """Guards against a wait that leaves the caller no time to retry."""
     assert decide(ManualClock(), left_s=1.0, stream=False, usual_s=0.2) == 0.33
 
 
-def test_wait_that_serves_nobody_is_not_begun():
-    """Symptom: requests wait that can't be served in time any more."""
+def test_wait_without_benefit_is_not_started():
+    """Guards against waits of requests that can't be served in time any more."""
     clock = ManualClock()
     assert decide(clock, left_s=2.0) is NoWait.TOO_LATE
     assert decide(clock, ends_in_s=6.5) is NoWait.NOT_IN_TIME
-    # A caller that has come back would be refused for good.
+    # A retry would be refused finally.
     assert decide(clock, ends_in_s=6.5, is_return=True) == 1.5
 
 
-def test_outage_is_expected_to_last_as_long_as_it_has():
-    """Symptom: an outage of 3 s is taken to end at once, or never."""
+def test_expected_rest_of_an_outage():
+    """Guards against estimating that an outage of 3 s ends at once, or never."""
     clock = ManualClock()
     lengths = OutageLengths(WaitingSettings(), clock)
     began_at_s = clock.monotonic_s()
@@ -71,10 +71,10 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_order_of_the_queue(seed):
-    """Symptom: a request waits behind a less urgent one, or one that can start later.
+def test_queue_order(seed):
+    """Guards against waiting behind less urgent requests or later start times.
 
-    The order is compared with a sorted list of what was told of each request.
+    The order is compared with a sorted list.
     """
     drawn = random.Random(seed)
     clock = ManualClock()
@@ -102,7 +102,7 @@
 
 
 def test_usual_time_follows_requests():
-    """Symptom: the latest start is reckoned by times of long ago."""
+    """Guards against a mean duration dominated by old requests."""
     times = RequestTimes(WaitingSettings())
     assert times.usual_s("r") == 0.0
     times.note("r", 1.0)
