--- a/siskinthread/load_control/_load_control.py
+++ b/siskinthread/load_control/_load_control.py
@@ -203,38 +203,38 @@
         if cause is BindingCause.SURGING:
             return (
                 f"The client account {request.account.name} uses several times its "
-                f"usual load, and {load:.2f} requests per slot are in use."
+                f"usual, and {load:.2f} for each slot are in use."
             )
         if cause is BindingCause.RESERVED and self._yields_slots(request):
             return (
-                f"Its objective has passed, and {load:.2f} requests per slot are in "
-                f"use at the {count} targets that could serve it; the other slots are "
-                f"left to expected requests that can meet their objective."
+                f"Its objective is past, and {load:.2f} for each slot of the {count} "
+                f"targets that could take it are in use; the others are left to "
+                f"requests that are expected and can be in time."
             )
         if cause is BindingCause.RESERVED:
             return (
-                f"{load:.2f} requests per slot are in use at the {count} targets "
-                f"that could serve it, and {admission.reserved_share:.2f} per slot are "
-                f"reserved for requests more urgent than priority {request.priority}."
+                f"{load:.2f} for each slot of the {count} targets that could take it "
+                f"are in use, and {admission.reserved_share:.2f} for each are reserved "
+                f"for requests of a priority before {request.priority}."
             )
         if cause is BindingCause.NO_MEMORY:
             counts = request.facts.token_counts
             return (
-                f"None of the {count} targets that could serve it has free memory for "
-                f"{counts.prompt} prompt tokens and up to {counts.most_output} output "
-                f"tokens besides the memory reserved for larger requests."
+                f"None of the {count} targets that could take it has memory for "
+                f"{counts.prompt} tokens and up to {counts.most_output} of the answer, "
+                f"beside what is kept for larger requests."
             )
         if cause is BindingCause.LATE_PASSES:
             return (
-                f"One more stream would make the streams of its group late: each of "
-                f"the {count} targets that could serve it is in a group whose passes "
-                f"would exceed the allowed fraction of the permitted pause."
+                f"One more stream would make those of its group late: each of the "
+                f"{count} targets that could take it is in a group whose passes would "
+                f"be longer than the part of the permitted pause that it may use."
             )
         return (
-            f"The {count} targets that could serve it have as many requests "
+            f"The {count} targets that could take it have as many requests "
             f"as they can serve in time: {chosen.instance_id} has "
             f"{self._loads.total(chosen.instance_id)} for {chosen.slot_count} slots, "
-            f"and the mean load is {load:.2f} requests per slot, as reported by "
+            f"and {load:.2f} for each slot are in use around it, as told by "
             f"{self._loads.source()}."
         )
 
