--- a/siskinthread/gateway/__init__.py
+++ b/siskinthread/gateway/__init__.py
@@ -1,8 +1,8 @@
-"""Entry that passes HTTP requests on to targets without agents.
+"""Gateway that forwards HTTP requests directly to targets.
 
 Interface: ``Gateway(settings, failure_domain, wire, table_source, target_source, clock,
 metrics, random)``; ``tasks()``, ``async serve_callers(listening socket)``, ``async
-serve_pages(listening socket, pages)``, ``async drain(deadline)``.  The sources hand in
+serve_pages(listening socket, pages)``, ``async drain(deadline)``.  The sources provide
 `RouteTable` and `TargetEntry` objects, the wire reads and writes headers; see
 `Gateway`.
 """
--- a/siskinthread/gateway/_account_shares.py
+++ b/siskinthread/gateway/_account_shares.py
@@ -1,10 +1,10 @@
-"""Which client accounts use more than their share while targets are nearly full.
+"""Detection of client accounts that surge while targets are nearly full.
 
-The load pattern: one account sends many times its usual.  Without a bound it fills the
-slots that come free, and the requests of all other accounts are refused.  So while most
-slots are in use, an account that uses more than some times its usual, measured by how
-much more than usual the others use, is refused first.  The slots that are left go to
-the others.  While there is room, nobody is refused for it.
+Guards against one account that sends many times its usual load: without a bound it
+fills every slot that comes free, and the requests of all other accounts are refused.
+While most slots are in use, requests of an account are refused first if its load
+exceeds its usual load by more than a set ratio, scaled by the typical increase of all
+accounts.  While enough slots are free, no request is refused for this reason.
 """
 
 import math
@@ -14,26 +14,26 @@
 
 
 class AccountShares:
-    """What each account uses now and usually, over all entries.
+    """Current and usual number of requests in flight of each account, over all hosts.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Ratio, margin and times.
+        Ratio, margin and sampling interval.
     clock : siskinthread.timing.Clock
-        Clock of the averages.
+        Clock of the sampling.
 
     Attributes
     ----------
     peers : siskinthread.peer_news.PeerNews or None
-        Tells requests of accounts at other entries.
+        Provides the requests of accounts at other hosts.
 
     Notes
     -----
-    Callers of an account reach a few entries each, so that what one entry sees of an
-    account is a few requests; sums over all entries, about half a second old, tell a
-    surge from chance.  In a replay of a surge with 40 accounts, 0.88 to 0.99 of the
-    others' requests are served instead of 0.61.
+    The callers of an account are spread over hosts, so a single host sees only a few of
+    its requests.  Sums over all hosts, about half a second old, are large enough to
+    tell a surge from random variation.  In a replay of a surge with 40 accounts, 0.88
+    to 0.99 of the other accounts' requests are served instead of 0.61.
     """
 
     __slots__ = ("_clock", "_next_sample", "_own", "_settings", "_usual", "peers")
@@ -47,11 +47,11 @@
         self.peers = None
 
     def started(self, account_name):
-        """Count a request of an account."""
+        """Count a request of an account as in flight."""
         self._own[account_name] = self._own.get(account_name, 0) + 1
 
     def ended(self, account_name):
-        """Count a request as over."""
+        """Count a request of an account as ended."""
         left = self._own[account_name] - 1
         if left:
             self._own[account_name] = left
@@ -59,56 +59,56 @@
             del self._own[account_name]
 
     def own_counts(self):
-        """Return this entry's requests by account."""
+        """Return the requests in flight at this host, as `dict` of account to count."""
         return dict(self._own)
 
     def is_surging(self, account_name):
-        """Return whether an account uses so much more than usual that others go first.
+        """Return whether the load of an account exceeds its surge limit.
 
         Returns
         -------
         bool
-            False for an account of which nothing usual is known yet.
+            False for an account whose usual load is not known yet.
         """
         return self._total(account_name) > self.surge_limit(account_name)
 
     def surge_limit(self, account_name):
-        """Return the requests of an account at once beyond which it surges.
+        """Return the number of requests in flight beyond which an account surges.
 
         Returns
         -------
         float
-            Infinite for an account of which nothing usual is known yet.
+            Infinite for an account whose usual load is not known yet.
         """
         self.sample()
         usual = self._usual.get(account_name)
         if usual is None or not usual.is_settled(self._settings):
             return math.inf
-        limit = self._settings.surge_ratio * usual.mean * self._common_ratio()
-        # Few requests vary by their root; some of them are no surge.
+        limit = self._settings.surge_ratio * usual.mean * self._typical_ratio()
+        # A count of n varies randomly by about sqrt(n); allow two deviations.
         return limit + self._settings.surge_margin_count + 2 * math.sqrt(limit)
 
     def usual_of_others(self, account_name):
-        """Return the requests that all accounts but one usually have at once."""
+        """Return the usual number of requests in flight of all accounts but one."""
         return sum(
             usual.mean for name, usual in self._usual.items() if name != account_name
         )
 
     def sample(self):
-        """Take what accounts use now into what they use usually, if that is due."""
+        """Update the usual load of all accounts if the sampling interval has passed."""
         if not self._next_sample.passed():
             return
         interval_s = self._settings.account_sample_interval_s
         self._next_sample = Deadline.after(self._clock, interval_s)
         totals = self._totals()
         for name in self._usual.keys() | totals.keys():
-            usual = self._usual.setdefault(name, _Usual())
+            usual = self._usual.setdefault(name, _UsualLoad())
             usual.note(totals.get(name, 0), self._settings)
             if usual.mean < self._settings.forgotten_account_mean:
                 del self._usual[name]
 
-    def _common_ratio(self):
-        """Return by how much accounts use more than usual, as most of them do."""
+    def _typical_ratio(self):
+        """Return the median ratio of current to usual load of accounts, at least 1."""
         totals = self._totals()
         ratios = [
             totals.get(name, 0) / usual.mean
@@ -127,8 +127,8 @@
         return totals
 
 
-class _Usual:
-    """Mean of an account's requests under way."""
+class _UsualLoad:
+    """Exponentially weighted mean of the requests in flight of an account."""
 
     __slots__ = ("mean", "sample_count")
 
@@ -137,11 +137,11 @@
         self.sample_count = 0
 
     def note(self, count, settings):
-        """Take a sample in; the first ones count alike, later ones fade."""
+        """Add a sample; the first samples get equal weights."""
         self.sample_count += 1
         weight = max(1 / self.sample_count, settings.account_sample_weight)
         self.mean += weight * (count - self.mean)
 
     def is_settled(self, settings):
-        """Return whether there were enough samples to tell a surge."""
+        """Return whether there are enough samples to detect a surge."""
         return self.sample_count >= settings.account_least_samples
--- a/siskinthread/gateway/_answer_framing.py
+++ b/siskinthread/gateway/_answer_framing.py
@@ -1,11 +1,11 @@
-"""Where an answer of a target ends."""
+"""Message framing of the answers of targets."""
 
-# Answers that have no body, whatever their headers say.
+# Answers with these statuses have no body, regardless of their headers.
 BODILESS_STATUSES = (204, 304)
 
 
 def ends_with_connection(head):
-    """Return whether an answer has neither a length nor chunks.
+    """Return whether the end of an answer is marked only by the end of its connection.
 
     Parameters
     ----------
@@ -15,7 +15,8 @@
     Returns
     -------
     bool
-        Its connection's end is then its end (RFC 9112, section 6.3).
+        True if the answer has a body, but neither a length nor chunked encoding
+        (RFC 9112, section 6.3).
     """
     if head.status in BODILESS_STATUSES:
         return False
--- a/siskinthread/gateway/_attempt.py
+++ b/siskinthread/gateway/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request at one target, until its answer ends or breaks off."""
+"""One attempt: a request at one target, until its answer is complete or fails."""
 
 import enum
 
@@ -10,34 +10,35 @@
 from siskinthread.target_limits import FREE_PERMIT
 
 STATUS_OK = 200
-# To callers they promise that the request has not run and never will.
+# Callers take these statuses as a guarantee that the request has not run and never
+# will.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 FIRST_SERVER_ERROR = 500
 SUCCESS_STATUSES = range(200, 300)
 
 
 class AttemptResult(enum.Enum):
-    """What became of an attempt."""
+    """Result of an attempt."""
 
-    # The whole answer has come.
+    # The complete answer was received.
     ANSWERED = "answered"
-    # The whole answer has come, and it is the target's own failure.
+    # The complete answer was received and is a server error.
     FAILED = "failed"
-    # Not a byte of the request was sent.
+    # No byte of the request was sent.
     UNREACHABLE = "unreachable"
-    # The target says that it did not and will not run the request.
+    # The target states that it did not and will not run the request.
     DECLINED = "declined"
-    # The request was sent and may have run; the answer is missing or broke off.
+    # The request was sent and may have run; the answer is missing or incomplete.
     LOST = "lost"
-    # The stream was left within its answer, to go on at another target.
+    # The stream was abandoned here to continue at another target.
     LEFT = "left"
-    # Not sent: since the choice the target requested back-off, or said that it leaves,
-    # or its failure domain was evacuated.
+    # Not sent: after the choice, the target requested back-off or announced that it
+    # leaves, its quota while cold was used up, or its failure domain was evacuated.
     WITHHELD = "withheld"
 
     @property
     def is_not_run(self):
-        """Whether the request certainly did not run at the target."""
+        """Whether the request definitely did not run at the target."""
         return self in (
             AttemptResult.UNREACHABLE,
             AttemptResult.DECLINED,
@@ -46,7 +47,7 @@
 
 
 class WholeAnswer:
-    """An answer that was held until its end.
+    """A complete answer, buffered in memory.
 
     Parameters
     ----------
@@ -69,72 +70,74 @@
     Parameters
     ----------
     parts : GatewayParts
-        What all requests share.
+        State that all requests share.
     request : GatewayRequest
         The request.
     entry : TargetEntry
         The target.
     reply : Reply
-        Where the answer goes.
-    should_leave : callable
+        Writes the answer to the caller.
+    should_migrate : callable
         Called with this attempt after each event of a stream; returns whether the
-        stream goes on at another target.
+        stream should continue at another target.
     permit : object
-        The request's place at the target, see `siskinthread.target_limits.ColdTargets`;
-        released at the end of the attempt.
+        Permit from `siskinthread.target_limits.ColdTargets`; released at the end of the
+        attempt.
 
     Attributes
     ----------
     result : AttemptResult or None
-        What became of it, once that is known.
+        Result, once it is known.
     answer : WholeAnswer or None
-        The answer, unless it is a stream or too large to be held.
+        The answer; None for streams and for answers too large to buffer.
     reason : str
-        What failed, for the log.
+        Why the attempt failed, for the log.
     written : bool
-        Whether a byte of the request was sent.
+        Whether any byte of the request was sent.
     sent_at_s : float or None
-        When that was begun, monotonic seconds.
+        Start of sending, monotonic seconds.
     load_when_chosen : int
-        Requests that the target was believed to have.
+        Known load of the target when it was chosen, requests.
     list_age_s : float or None
-        How long before the choice the list of targets was last confirmed.
-    rested_s : float or None
-        How long its connection had rested; None for a new one.
+        Age of the target list when the target was chosen, seconds.
+    idle_before_s : float or None
+        How long the connection was idle before this attempt, seconds; None for a new
+        connection.
     is_success : bool
-        Whether the target's status says that it has served the request.
+        Whether the answer has a 2xx status.
     is_broken_off : bool
-        Whether the target's side ended the exchange, rather than being silent.
+        Whether the target's side ended the exchange, as opposed to a time-out.
     has_target_ended : bool or None
-        Whether the target did not listen any more after that, once it was looked at.
+        Whether the target had stopped listening after a broken exchange; None if that
+        was not checked.
     is_stale : bool
-        Whether a kept connection ended before the answer; the target has probably
-        closed it for its age, and is not to be blamed.
+        Whether a kept connection was closed before the answer.  The target has probably
+        closed it after its idle time-out, so this is not counted as its failure.
     is_unacknowledged : bool
-        Whether it was lost since the target's host acknowledged nothing.
+        Whether the exchange was lost because the target's host acknowledged no data.
     is_group_fault : bool
-        Whether another rank of the target's group is what failed.
+        Whether the target declined because of another rank of its group.
     has_head : bool
-        Whether the head of the answer has come.
+        Whether the head of the answer was received.
     first_event_at_s : float or None
-        When the first event of a stream came, monotonic seconds.
+        Arrival of the first event of a stream, monotonic seconds.
     has_free_slots : bool
-        Whether the target, as its answer says, has slots that are free.
+        Whether the target has free slots according to its answer.
     backoff_asked_s : float
-        For how long the target wants no more requests, seconds.
+        Back-off that the target requested, seconds.
     says_leaving : bool
-        Whether the target says that it leaves.
+        Whether the target announced that it leaves.
     """
 
     __slots__ = (
         "_connection",
-        "_held",
+        "_budget_share",
         "_parts",
         "_permit",
         "_reply",
         "_request",
         "_running",
-        "_should_leave",
+        "_should_migrate",
         "answer",
         "entry",
         "first_event_at_s",
@@ -150,21 +153,23 @@
         "load_when_chosen",
         "reason",
         "backoff_asked_s",
-        "rested_s",
+        "idle_before_s",
         "result",
         "says_leaving",
         "sent_at_s",
         "written",
     )
 
-    def __init__(self, parts, request, entry, reply, should_leave, permit=FREE_PERMIT):
+    def __init__(
+        self, parts, request, entry, reply, should_migrate, permit=FREE_PERMIT
+    ):
         self._permit = permit
-        self._should_leave = should_leave
+        self._should_migrate = should_migrate
         self._parts = parts
         self._request = request
         self._reply = reply
         self._connection = None
-        self._held = parts.answers.share()
+        self._budget_share = parts.answers.share()
         self._running = None
         self.entry = entry
         self.result = None
@@ -184,30 +189,30 @@
         self.says_leaving = False
         self.load_when_chosen = parts.loads.total(entry.instance_id)
         self.list_age_s = parts.targets.age_s()
-        self.rested_s = None
+        self.idle_before_s = None
         self.sent_at_s = None
 
     async def run(self):
-        """Send the request and take its answer; sets `result`."""
+        """Send the request and receive its answer; sets `result`."""
         self._parts.loads.started(self.entry.instance_id)
         self._running = self._parts.load_control.started(self._request, self.entry)
         try:
             await self._exchange()
         except ConnectionLostError as error:
             self.is_broken_off = True
-            self._break(str(error))
+            self._fail(str(error))
         except TargetError as error:
             self.written = True
             self.is_broken_off = not isinstance(error, TargetSilentError)
-            self._break(str(error))
+            self._fail(str(error))
         finally:
-            # A connection that is still held has not finished its exchange.  Its end
-            # is also what tells the target that nobody waits any more.
+            # A connection that is still set here has not finished its exchange.
+            # Aborting it also signals the target that the answer is not needed.
             connection, self._connection = self._connection, None
             self._parts.sends.ended(connection)
             if connection is not None:
                 self.written = self.written or connection.written
-                await connection.give_up()
+                await connection.abort()
             self._permit.release()
             self._parts.loads.ended(self.entry.instance_id)
             self._running.ended(
@@ -216,22 +221,22 @@
             )
 
     def _has_target_failed(self):
-        """Return whether the target failed the request, rather than being late."""
+        """Return whether the target failed the request, as opposed to a time-out."""
         if self.result is AttemptResult.LOST:
             return self.is_broken_off and not self.is_stale
         return self.result is AttemptResult.FAILED
 
     def written_s(self):
-        """Return for how long events of a stream have come, seconds; 0 before any."""
+        """Return the time since the first event of a stream, seconds; 0 before it."""
         if self.first_event_at_s is None:
             return 0.0
         return self._parts.clock.monotonic_s() - self.first_event_at_s
 
     def release(self):
-        """Count what is held of the answer as free: it is written now or dropped."""
-        self._held.release()
+        """Release the memory budget of the answer, which is written now or dropped."""
+        self._budget_share.release()
 
-    def _break(self, reason):
+    def _fail(self, reason):
         connection = self._connection
         if connection is not None:
             self.written = self.written or connection.written
@@ -239,7 +244,7 @@
             is_kept = connection.was_used and not self.has_head
             self.is_stale = is_kept and not self.is_unacknowledged
         if self.result is AttemptResult.DECLINED:
-            # The head has said so; what is missing of the body does not matter.
+            # The head already states it; a missing rest of the body does not matter.
             return
         self.reason = reason
         self.result = AttemptResult.LOST if self.written else AttemptResult.UNREACHABLE
@@ -250,7 +255,7 @@
         self._connection = connection = await parts.pool.take(
             self.entry, request.kind.is_repeatable, request.deadline
         )
-        self.rested_s = connection.rested_s
+        self.idle_before_s = connection.idle_before_s
         if not self._may_be_sent():
             self.result = AttemptResult.WITHHELD
             return
@@ -275,20 +280,20 @@
         if not facts.is_other_instance:
             self._note_statements(facts, sent_at_s)
         if facts.not_run:
-            await self._take_decline(facts)
+            await self._receive_decline(facts)
         elif _is_event_stream(head):
             await self._relay_events(head)
         else:
-            await self._take_whole(head)
+            await self._receive_whole(head)
         if self.result not in (AttemptResult.LOST, AttemptResult.LEFT):
             self._connection = None
             parts.sends.ended(connection)
-            await self._keep(connection, facts)
+            await self._return_connection(connection, facts)
 
     def _may_be_sent(self):
-        """Return whether the target may still get the request; else sets `reason`.
+        """Return whether the target may still get the request; else set `reason`.
 
-        Opening a connection takes time, in which answers to other requests come.
+        While a connection is opened, answers to other requests may change this.
         """
         parts = self._parts
         instance_id = self.entry.instance_id
@@ -299,7 +304,7 @@
         if parts.backoffs.is_backed_off(instance_id) or parts.targets.has_left(
             instance_id
         ):
-            self.reason = "the target wants no more requests since it was chosen"
+            self.reason = "the target requested back-off or leaves since it was chosen"
             return False
         if not self._permit.may_be_written():
             self.reason = "the target is cold, and this host's quota of it is used"
@@ -307,7 +312,7 @@
         return True
 
     def _note_statements(self, facts, sent_at_s):
-        """Take what the target says of itself."""
+        """Record what the headers of the answer state about the target."""
         parts = self._parts
         self.backoff_asked_s = facts.stated_backoff.wait_s
         self.says_leaving = facts.is_leaving
@@ -323,13 +328,13 @@
         facts = self._parts.wire.read_answer(head)
         return facts.request_id == self._request.request_id
 
-    async def _keep(self, connection, facts):
+    async def _return_connection(self, connection, facts):
         if facts.closes:
             await connection.close()
         else:
             await self._parts.pool.give_back(self.entry, connection, facts.rest_limit_s)
 
-    async def _take_decline(self, facts):
+    async def _receive_decline(self, facts):
         self.reason = "declined"
         if facts.is_other_instance:
             self.reason = "another instance listens there"
@@ -340,14 +345,14 @@
         while await self._connection.receive_data(self._request.deadline) is not None:
             pass
 
-    async def _take_whole(self, head):
+    async def _receive_whole(self, head):
         if head.status in NOT_RUN_STATUSES:
-            # It would tell the caller that the request did not run, which the target
-            # does not say.
-            self._lose(f"status {head.status} of a request that may have run")
+            # Passed on, the status would tell the caller that the request did not run,
+            # which the target does not state.
+            self._mark_lost(f"status {head.status} of a request that may have run")
             return
         if self._reply.has_begun:
-            self._lose(f"status {head.status} instead of the rest of a stream")
+            self._mark_lost(f"status {head.status} instead of the rest of a stream")
             return
         connection = self._connection
         limit_bytes = self._parts.settings.whole_answer_limit_bytes
@@ -359,9 +364,9 @@
                 break
             chunks.append(data)
             size_bytes += len(data)
-            if size_bytes > limit_bytes or not self._held.take(len(data)):
-                self._held.release()
-                await self._relay_rest(head, chunks)
+            if size_bytes > limit_bytes or not self._budget_share.take(len(data)):
+                self._budget_share.release()
+                await self._relay_large(head, chunks)
                 return
         if await self._ended_with_target(head):
             return
@@ -371,8 +376,8 @@
         if failed:
             self.reason = f"status {head.status}"
 
-    async def _relay_rest(self, head, chunks):
-        """Pass on an answer that is too large to be held."""
+    async def _relay_large(self, head, chunks):
+        """Pass on an answer that is too large to buffer."""
         await self._reply.begin(head)
         for data in chunks:
             await self._reply.write(data)
@@ -387,31 +392,31 @@
         self.result = AttemptResult.ANSWERED
 
     async def _relay_events(self, head):
-        """Pass on the events of a stream as they come, each of them whole."""
+        """Pass on the events of a stream as they arrive, complete events only."""
         progress = StreamProgress(
             self._parts.progress,
             self._parts.choice.group_of(self.entry.instance_id),
             self.entry.instance_id,
         )
         try:
-            await self._relay_each(head, progress)
+            await self._relay_stream(head, progress)
         finally:
             progress.end()
 
-    async def _relay_each(self, head, progress):
+    async def _relay_stream(self, head, progress):
         splitter = EventSplitter()
         while True:
             data = await self._connection.receive_data(self._request.deadline)
             if data is None:
                 break
             events = splitter.take(data)
-            if not self._held.hold(len(splitter.rest)):
-                self._lose("no memory is left for the rest of an event")
+            if not self._budget_share.hold(len(splitter.rest)):
+                self._mark_lost("the memory budget has no room for an incomplete event")
                 return
             if events is None:
                 continue
             if not self._continues(events):
-                self._lose("the events have a gap")
+                self._mark_lost("the event ids have a gap")
                 return
             if not self._reply.has_begun:
                 await self._reply.begin(head)
@@ -421,12 +426,12 @@
             self._parts.waiting_room.note_served(self.entry.service_name)
             self._running.events_came(events.count)
             await self._reply.write_events(events)
-            if self._should_leave(self):
+            if self._should_migrate(self):
                 self.reason = "the target is slow"
                 self.result = AttemptResult.LEFT
                 return
         if splitter.rest:
-            self._lose("the stream ended within an event")
+            self._mark_lost("the stream ended in the middle of an event")
             self.is_broken_off = True
             return
         if await self._ended_with_target(head):
@@ -437,10 +442,11 @@
         self.result = AttemptResult.ANSWERED
 
     async def _ended_with_target(self, head):
-        """Return whether an answer that ends with its connection was broken off.
+        """Return whether an answer delimited by connection close is incomplete.
 
-        A process that ends closes its connections in order, so that its answer looks
-        whole.  One that leaves as planned finishes its answers first.
+        The kernel closes the connections of an ended process in the regular way, so a
+        truncated answer looks complete.  A target that leaves as planned completes its
+        answers first.
         """
         if not ends_with_connection(head):
             return False
@@ -450,16 +456,16 @@
             return False
         if not await has_ended(self.entry, self._parts.settings):
             return False
-        self._lose("the target ended with an answer that has no length")
+        self._mark_lost("the target process ended during an answer without a length")
         self.is_broken_off = True
         return True
 
-    def _lose(self, reason):
+    def _mark_lost(self, reason):
         self.reason = reason
         self.result = AttemptResult.LOST
 
     def _continues(self, events):
-        """Return whether events follow those that the caller has, without a gap."""
+        """Return whether events directly follow those already sent to the caller."""
         last_id = self._reply.last_event_id
         if not events.is_gapless:
             return False
--- a/siskinthread/gateway/_choice_refusals.py
+++ b/siskinthread/gateway/_choice_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of requests that no target can take, and when their callers come back."""
+"""Refusals of requests that no target can take, with the delay before a retry."""
 
 from siskinthread.gateway._target_refusal import TargetRefusal
 from siskinthread.load_control import BindingCause
@@ -6,26 +6,26 @@
 
 
 class ChoiceRefusals:
-    """Builds the refusals of the choice of a target.
+    """Builds the refusals that target selection returns.
 
     Parameters
     ----------
     parts : GatewayParts
-        Settings, and what is known of limits, back-offs and cold targets.
-    come_back_after_s : callable
-        Called with a request and its `BindingCause`; returns when its caller should
-        come back, seconds.
+        Settings, target list, limits, back-offs and cold targets.
+    retry_delay_s : callable
+        Called with a request and its `BindingCause`; returns how long its caller should
+        wait before it retries, seconds.
 
     Attributes
     ----------
     return_times : ReturnTimes or None
-        Decides when refused callers come back; None leaves it to the settings alone.
+        Decides when refused callers retry; with None the settings alone decide.
     """
 
     __slots__ = (
         "_backoffs",
         "_cold",
-        "_come_back_after_s",
+        "_retry_delay_s",
         "_limits",
         "_random",
         "_settings",
@@ -33,73 +33,74 @@
         "return_times",
     )
 
-    def __init__(self, parts, come_back_after_s):
+    def __init__(self, parts, retry_delay_s):
         self._settings = parts.settings
         self._targets = parts.targets
         self._limits = parts.limits
         self._backoffs = parts.backoffs
         self._cold = parts.cold
         self._random = parts.random
-        self._come_back_after_s = come_back_after_s
+        self._retry_delay_s = retry_delay_s
         self.return_times = None
 
-    def come_back_after_s(self, request, cause, is_outage):
-        """Return the time after which a refused caller should come back, seconds.
+    def retry_delay_s(self, request, cause, is_outage):
+        """Return how long a refused caller should wait before it retries, seconds.
 
         Parameters
         ----------
         request : GatewayRequest
-            The request.
+            The refused request.
         cause : siskinthread.load_control.BindingCause
-            What keeps it from all targets.
+            Why no target can take the request.
         is_outage : bool
-            Whether no target of its service is trusted.
+            Whether the service has no healthy target.
 
         Notes
         -----
-        Spread over a range, so that callers refused together don't return together;
-        within a third of the time that the caller has left, or it would not come.
+        The delay has random jitter, so that callers refused together do not retry
+        together.  It is at most a third of the caller's remaining time; with a longer
+        delay the caller would not retry.
         """
-        present_s = longest_s = self._longest_s(request)
+        default_s = longest_delay_s = self._longest_delay_s(request)
         if not is_outage:
             spread = 0.6 + 0.8 * self._random.random()
-            present_s = min(self._settings.retry_after_s * spread, longest_s)
+            default_s = min(self._settings.retry_after_s * spread, longest_delay_s)
         if self.return_times is None:
-            return present_s
-        return self.return_times.after_s(request, cause, present_s)
+            return default_s
+        return self.return_times.retry_delay_s(request, cause, default_s)
 
-    def without_target(self, request):
-        """Return the refusal of a request that there is no target for."""
+    def for_no_target(self, request):
+        """Return the refusal of a request whose service has no untried target."""
         message = "No target can take it."
         if self._targets.is_evacuated(request.service_name):
             message = "All of its targets are in evacuated failure domains."
-        return self.of_load(BindingCause.NO_TARGET, request, message)
+        return self.for_cause(BindingCause.NO_TARGET, request, message)
 
     def for_limits(self, request, limited):
-        """Return the refusal of a request that no target's limit leaves room for."""
+        """Return the refusal of a request that the rate limits of all targets block."""
         described = self._limits.describe(limited[0].instance_id)
         return TargetRefusal(
             BindingCause.LIMITED,
             Reason.OVERLOADED,
             f"All {len(limited)} targets that could take it are limited: {described}.",
             lambda: self._limits.come_back_after_s(
-                request.service_name, self._longest_s(request)
+                request.service_name, self._longest_delay_s(request)
             ),
         )
 
     def for_cold(self, request, cold):
-        """Return the refusal of a request that only cold targets could take."""
-        longest_s = self._longest_s(request)
+        """Return the refusal of a request for which only cold targets are left."""
+        longest_delay_s = self._longest_delay_s(request)
         return TargetRefusal(
             BindingCause.COLD,
             Reason.OVERLOADED,
             f"All {len(cold)} targets that could take it are cold: "
             f"{self._cold.describe(cold[0])}.",
-            lambda: self._cold.come_back_after_s(cold, longest_s),
+            lambda: self._cold.come_back_after_s(cold, longest_delay_s),
         )
 
     def for_backoff(self, request, backed_off):
-        """Return the refusal of a request whose targets all requested back-off."""
+        """Return the refusal of a request whose targets have all requested back-off."""
         service_name = request.service_name
         described = self._backoffs.describe(backed_off[0].instance_id)
         return TargetRefusal(
@@ -110,19 +111,19 @@
             lambda: self._backoffs.come_back_after_s(
                 backed_off,
                 self._limits.own_asked_per_s(service_name),
-                self._longest_s(request),
+                self._longest_delay_s(request),
             ),
         )
 
-    def of_load(self, cause, request, message):
-        """Return the refusal of a request that is kept from all targets by a cause."""
+    def for_cause(self, cause, request, message):
+        """Return the refusal of a request that no target can take for a given cause."""
         reason = Reason.OVERLOADED
         if cause in (BindingCause.OUTAGE, BindingCause.NO_TARGET):
             reason = Reason.NO_TARGET
         return TargetRefusal(
-            cause, reason, message, lambda: self._come_back_after_s(request, cause)
+            cause, reason, message, lambda: self._retry_delay_s(request, cause)
         )
 
-    def _longest_s(self, request):
-        """Return the latest time that a caller accepts, seconds."""
+    def _longest_delay_s(self, request):
+        """Return the longest delay after which the caller still retries, seconds."""
         return request.deadline.left_s() * self._settings.return_limit_share
--- a/siskinthread/gateway/_connection_preference.py
+++ b/siskinthread/gateway/_connection_preference.py
@@ -1,30 +1,31 @@
-"""Preference of targets to which a request needs no new connection."""
+"""Preference for targets to which a reusable connection exists."""
 
 import enum
 
 
 class PreferenceBasis(enum.Enum):
-    """Why a request goes to some of the targets that loads leave it."""
+    """How connections influenced the selection of a target."""
 
-    # It may run only once, targets are in no group, or the preference is disabled.
+    # The request must not run twice, the targets have no group, or the preference is
+    # disabled.
     NOT_APPLIED = "not_applied"
-    # No target that it could go to has a usable connection.
+    # None of the eligible targets has a reusable connection.
     NO_CONNECTION = "no_connection"
-    # A target with a connection that loads can't distinguish from the best one.
+    # Targets with a connection whose load is indistinguishable from the lowest.
     ALIKE = "alike"
-    # A rank with a connection that has more requests than the least loaded one.
+    # Ranks with a connection that have more requests than the least loaded target.
     BUSIER_RANK = "busier_rank"
 
 
 class ConnectionDecision:
-    """The targets that a request goes to one of.
+    """Targets that are preferred for their connections.
 
     Parameters
     ----------
     entries : list of TargetEntry
-        The targets; empty where connections make no difference.
+        The preferred targets; empty if connections make no difference.
     basis : PreferenceBasis
-        Why these.
+        Reason for the decision.
     """
 
     __slots__ = ("basis", "entries")
@@ -35,21 +36,21 @@
 
 
 class ConnectionPreference:
-    """Decides which of some targets a request prefers for their connections.
+    """Decides which targets are preferred for their connections.
 
     Parameters
     ----------
     settings : ConnectionSettings
         Whether connections are preferred.
     has_connection : callable
-        Called with an instance id; returns whether a connection to that target may
-        carry a request now.
+        Called with an instance id; returns whether a reusable connection to that target
+        exists.
 
     Notes
     -----
     A new connection costs a round trip and, briefly, a slot of the target.  With 37
-    hosts and 72 targets each host sends some four requests a second, so that a target
-    drawn by chance seldom has a connection of this host.
+    hosts and 72 targets, each host sends about four requests per second, so there is
+    seldom a connection to a target that is drawn at random.
     """
 
     __slots__ = ("_has_connection", "_settings")
@@ -64,12 +65,13 @@
         Parameters
         ----------
         alike : list of TargetEntry
-            Targets that loads, speeds and failure domains don't distinguish.
+            Targets with indistinguishable load, speed and failure domain.
         may_reuse : bool
             Whether the request may be sent on a kept connection.
         busier : iterable of tuple of int, TargetEntry
-            Further ranks of the best one's group that have a free slot, by how many
-            requests more than the best one they have, the least first.
+            Further ranks with a free slot in the group of the best target, each with
+            the number of requests that it has more than the best target, in ascending
+            order.
         """
         if not (may_reuse and self._settings.is_preferred):
             return ConnectionDecision([], PreferenceBasis.NOT_APPLIED)
--- a/siskinthread/gateway/_event_stream.py
+++ b/siskinthread/gateway/_event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events out of the bytes of an event stream."""
+"""Splitting of the bytes of an event stream into complete events."""
 
 EVENT_STREAM_TYPE = "text/event-stream"
 # An event ends with an empty line.
@@ -7,18 +7,18 @@
 
 
 class WholeEvents:
-    """Consecutive whole events.
+    """Consecutive complete events.
 
     Parameters
     ----------
     data : bytes
-        Their bytes.
+        The bytes of the events.
     first_id, last_id : int or None
-        Ids of the first and the last one that has an id.
-    count : int
-        Number of those that have an id.
+        First and last event id; None if no event has an id.
     is_gapless : bool
-        Whether each id follows the one before it.
+        Whether each id is the previous id plus one.
+    count : int
+        Number of events with an id.
     """
 
     __slots__ = ("count", "data", "first_id", "is_gapless", "last_id")
@@ -32,15 +32,15 @@
 
 
 class EventSplitter:
-    """Cuts a stream at the ends of its events.
+    """Splits a stream at the ends of its events.
 
-    A target can fail in the middle of an event.  Only whole events are passed on, so
-    that another target can continue behind the last one.
+    A target can fail in the middle of an event.  Only complete events are passed on, so
+    that another target can continue after the last one.
 
     Attributes
     ----------
     rest : bytes
-        Bytes of an event that has not ended.
+        Bytes of the incomplete event at the end.
     """
 
     __slots__ = ("rest",)
@@ -49,7 +49,7 @@
         self.rest = b""
 
     def take(self, data):
-        """Add bytes and return the `WholeEvents` that they complete, or None."""
+        """Add bytes and return the completed `WholeEvents`, or None."""
         data = self.rest + data
         end = max(_end_behind(data, mark) for mark in EVENT_ENDS)
         self.rest = data[end:]
@@ -59,7 +59,7 @@
 
 
 def _end_behind(data, mark):
-    """Return the offset behind the last `mark`, 0 if there is none."""
+    """Return the offset after the last `mark`, 0 if there is none."""
     at = data.rfind(mark)
     return 0 if at < 0 else at + len(mark)
 
--- a/siskinthread/gateway/_forwarding.py
+++ b/siskinthread/gateway/_forwarding.py
@@ -1,4 +1,4 @@
-"""From an accepted request to its final answer, over as many targets as it may have."""
+"""Forwarding of one request, over several attempts if needed, to its final answer."""
 
 import json
 
@@ -13,16 +13,22 @@
 STATUS_BAD_GATEWAY = 502
 STATUS_UNAVAILABLE = 503
 STATUS_GATEWAY_TIMEOUT = 504
-# Targets that can't be reached have not been asked, so they don't count as attempts;
-# a service with none that can be reached must still get an answer soon.
+# An unreachable target has not received the request, so it does not count as an
+# attempt.  The bound lets a caller get an answer soon when no target of a service is
+# reachable.
 UNREACHABLE_LIMIT = 3
 NOT_SENT = (AttemptResult.UNREACHABLE, AttemptResult.WITHHELD)
-# What follows them is no repeat, or has been paid for when the stream left its target.
-NOT_REPEATED = (*NOT_SENT, AttemptResult.LEFT)
-# Results of attempts to which the target has just answered.
-REACHED = (AttemptResult.ANSWERED, AttemptResult.FAILED, AttemptResult.DECLINED)
-# Results that do not show a target to fail.
-NOT_TO_BLAME = (AttemptResult.DECLINED, AttemptResult.LEFT, AttemptResult.WITHHELD)
+# An attempt after these results is not charged to the retry budget: the request was not
+# sent, or the budget was charged when the stream left its target.
+NOT_CHARGED = (*NOT_SENT, AttemptResult.LEFT)
+# Results that show the target to be reachable.
+REACHED_RESULTS = (AttemptResult.ANSWERED, AttemptResult.FAILED, AttemptResult.DECLINED)
+# Results that do not count as failures of the target.
+NOT_TARGET_FAILURES = (
+    AttemptResult.DECLINED,
+    AttemptResult.LEFT,
+    AttemptResult.WITHHELD,
+)
 
 
 class Forwarding:
@@ -31,18 +37,18 @@
     Parameters
     ----------
     parts : GatewayParts
-        What all requests share.
+        State that all requests share.
     request : GatewayRequest
         The request.
     reply : Reply
-        Where the answer goes.
+        Writes the answer to the caller.
     """
 
     __slots__ = (
         "_attempts",
-        "_came_at_s",
-        "_next",
-        "_next_permit",
+        "_arrived_at_s",
+        "_migration_target",
+        "_migration_permit",
         "_parts",
         "_reply",
         "_request",
@@ -56,30 +62,31 @@
         self._request = request
         self._reply = reply
         self._attempts = []
-        self._came_at_s = parts.clock.monotonic_s()
-        # The target that a stream goes on at, once it has left another one.
-        self._next = None
-        # Its place there, until an attempt has taken it over.
-        self._next_permit = None
+        self._arrived_at_s = parts.clock.monotonic_s()
+        # Target at which a stream continues after it has left another one.
+        self._migration_target = None
+        # Permit for that target, until an attempt takes it over.
+        self._migration_permit = None
         self._sent_count = 0
-        # That the request tries suspected parts of its prompt.
+        # Trial of suspected parts of the prompt, if this request is one.
         self._trial = None
         self._tried_ids = set()
 
     async def run(self):
-        """Answer the request.
+        """Forward the request and write its answer.
 
         Returns
         -------
         siskinthread.outcomes.End
-            What became of it.  If the reply has begun and not ended, the connection
-            must be closed, which shows the caller that the answer is not whole.
+            Outcome of the request.  If the reply has begun and not ended, the
+            connection must be closed, which shows the caller that the answer is
+            incomplete.
         """
         self._parts.budgets.note_request(self._request.service_name)
         self._parts.limits.note_asked(
             self._request.service_name, self._request.priority
         )
-        self._parts.returns.note_came(self._request)
+        self._parts.returns.note_arrival(self._request)
         self._parts.load_control.note_asked(self._request)
         self._parts.part_guard.note_asked(
             self._request.service_name, self._request.part_names
@@ -90,14 +97,15 @@
         try:
             return await self._try_targets()
         finally:
-            if self._next_permit is not None:
-                self._next_permit.release()
+            if self._migration_permit is not None:
+                self._migration_permit.release()
             self._end_trial()
             for attempt in self._attempts:
                 attempt.release()
             if account is not None:
                 self._parts.accounts.ended(account.name)
-            # It may have been chosen to test an outage, and its caller have left.
+            # The request may be the test of an outage, and its caller may have
+            # disconnected before an attempt.
             self._parts.waiting_room.note_attempt_over(self._request)
 
     async def _try_targets(self):
@@ -106,18 +114,18 @@
             if isinstance(chosen, End):
                 if self._parts.targets.is_evacuated(self._request.service_name):
                     self._parts.measures.withheld_at_choice()
-                return await self._give_up(self._attempts[-1:], chosen)
-            if not self._may_pay_for_repeat():
-                return await self._give_up(self._attempts[-1:], None)
-            # Nothing else may run between the choice and this.
-            permit = self._next_permit or self._parts.cold.take(chosen)
-            self._next_permit = None
+                return await self._answer_unserved(self._attempts[-1:], chosen)
+            if not self._may_spend_retry():
+                return await self._answer_unserved(self._attempts[-1:], None)
+            # No other task may run between the choice of the target and this line.
+            permit = self._migration_permit or self._parts.cold.take(chosen)
+            self._migration_permit = None
             attempt = Attempt(
                 self._parts,
                 self._request,
                 chosen,
                 self._reply,
-                self._should_leave,
+                self._should_migrate,
                 permit,
             )
             self._attempts.append(attempt)
@@ -125,31 +133,34 @@
             self._parts.backoffs.note_sent(chosen.instance_id)
             self._parts.outages.note_sent(self._group_of(chosen))
             await self._run_attempt(attempt)
-            self._note(attempt)
-            await self._note_reach(attempt)
-            await self._note_for_others(attempt)
+            self._note_result(attempt)
+            await self._note_reachability(attempt)
+            await self._note_in_register(attempt)
             if attempt.result is AttemptResult.ANSWERED:
                 return await self._answer(attempt)
             if attempt.result is AttemptResult.LEFT:
                 continue
-            if not self._may_go_on(attempt):
-                return await self._give_up([attempt], None)
+            if not self._may_retry(attempt):
+                return await self._answer_unserved([attempt], None)
 
     async def _next_target(self):
-        """Return the target of the next attempt, or the `End` of the request."""
-        chosen, self._next = self._next or self._choose(), None
+        """Return the target of the next attempt or the `End` of the request.
+
+        Waits in the waiting room if no target can take the request now.
+        """
+        chosen, self._migration_target = self._migration_target or self._choose(), None
         if not isinstance(chosen, End):
             return chosen
         if not self.is_unsent():
             return chosen
         chosen = await self._parts.waiting_room.wait(
-            self._request, self._tried_ids, self._came_at_s, chosen
+            self._request, self._tried_ids, self._arrived_at_s, chosen
         )
-        # Other tries of it may have ended targets meanwhile.
-        return self._kept_off() or chosen
+        # Other attempts of the same request may have ended targets during the wait.
+        return self._poison_refusal() or chosen
 
     async def _run_attempt(self, attempt):
-        """Run an attempt, and note how long an answer took."""
+        """Run an attempt, and record its duration if it was answered."""
         room = self._parts.waiting_room
         began_at_s = self._parts.clock.monotonic_s()
         try:
@@ -162,12 +173,12 @@
             room.note_served(self._request.service_name)
 
     def is_unsent(self):
-        """Return whether the request has certainly not run at any target."""
+        """Return whether the request has definitely not run at any target."""
         results = [one.result for one in self._attempts]
         return all(one is not None and one.is_not_run for one in results)
 
     def describe(self):
-        """Return the attempts for the log."""
+        """Return the attempts as a list of `dict` for the log."""
         return [
             {
                 "target": attempt.entry.instance_id,
@@ -178,7 +189,7 @@
                 "reason": attempt.reason,
                 "target_ended": attempt.has_target_ended,
                 "list_age_s": _rounded(attempt.list_age_s),
-                "rested_s": _rounded(attempt.rested_s),
+                "rested_s": _rounded(attempt.idle_before_s),
                 "backoff_asked_s": attempt.backoff_asked_s,
                 "says_leaving": attempt.says_leaving,
             }
@@ -186,27 +197,30 @@
         ]
 
     def _choose(self):
-        """Return the target of the next attempt, or the `End` of the request."""
-        return self._kept_off() or self._parts.waiting_room.choose(
-            self._request, self._tried_ids, self._came_at_s
+        """Return a target that can take the request now, or an `End`."""
+        return self._poison_refusal() or self._parts.waiting_room.choose(
+            self._request, self._tried_ids, self._arrived_at_s
         )
 
-    def _kept_off(self):
-        """Return the `End` of a request that ends targets, or None."""
-        # Each try comes to another entry under another id; without what all of them
-        # know, one request ended nine targets, and their groups with them.
-        kept_off = self._parts.poison.kept_off_until(self._request.fingerprint)
-        if kept_off is None:
-            return self._kept_off_for_part()
+    def _poison_refusal(self):
+        """Return the refusal of a request under which targets end, or None."""
+        # Each retry of a caller may reach another host under another id.  Without a
+        # register shared by all hosts, one request ended nine targets and their groups.
+        blocked_until = self._parts.poison.kept_off_until(self._request.fingerprint)
+        if blocked_until is None:
+            return self._part_refusal()
         return End(
             Outcome.REFUSED_NOT_RUN,
             Reason.ENDS_TARGETS,
             "Targets have ended under this request; it is not sent to any other.",
-            retry_after_s=kept_off.left_s(),
+            retry_after_s=blocked_until.left_s(),
         )
 
-    def _kept_off_for_part(self):
-        """Return the `End` of a request with a part that ends targets, or None."""
+    def _part_refusal(self):
+        """Return the refusal of a request with a suspected part of a prompt, or None.
+
+        Starts the trial of a suspected part if one is admitted.
+        """
         request = self._request
         self._end_trial()
         admission = self._parts.part_guard.admit(
@@ -231,12 +245,12 @@
             self._parts.part_guard.release(self._trial)
             self._trial = None
 
-    def _should_leave(self, attempt):
-        """Return whether a stream goes on elsewhere, and choose where.
+    def _should_migrate(self, attempt):
+        """Return whether a stream should continue at another target, and choose it.
 
-        A slow rank that gets no new requests holds its group back until its last stream
-        has ended, which takes seconds: its passes are long.  The rest of a stream is
-        had sooner at another rank, which reads the prompt once more.
+        A slow rank that gets no new requests still slows its group until its last
+        stream has ended, which takes seconds because its passes are long.  Another rank
+        completes the stream sooner, although it has to process the prompt again.
         """
         request = self._request
         target = attempt.entry.instance_id
@@ -253,34 +267,34 @@
             return False
         if not self._parts.budgets.try_spend(request.service_name):
             return False
-        self._next = chosen
-        self._next_permit = self._parts.cold.take(chosen)
+        self._migration_target = chosen
+        self._migration_permit = self._parts.cold.take(chosen)
         return True
 
-    async def _note_reach(self, attempt):
-        """Note whether the failure domain of the target could be reached."""
+    async def _note_reachability(self, attempt):
+        """Record whether the failure domain of the target is reachable."""
         checks = self._parts.reachability_checks
         if attempt.result is AttemptResult.UNREACHABLE or attempt.is_unacknowledged:
             await checks.note_unreachable(attempt.entry)
-        elif attempt.result in REACHED:
+        elif attempt.result in REACHED_RESULTS:
             checks.note_reached(attempt.entry.failure_domain)
 
-    async def _note_for_others(self, attempt):
-        """Note what the attempt shows of the request itself, for all its tries."""
+    async def _note_in_register(self, attempt):
+        """Record for all hosts whether the request was served or may end targets."""
         if attempt.result is AttemptResult.ANSWERED and attempt.is_success:
             await self._parts.poison.answered(self._request.fingerprint)
             await self._parts.part_guard.answered(self._request.part_names)
         elif attempt.result is AttemptResult.LOST and attempt.is_broken_off:
-            await self._look_at_target(attempt)
+            await self._check_target_end(attempt)
 
-    async def _look_at_target(self, attempt):
-        """Find out whether the target of a lost attempt has ended.
+    async def _check_target_end(self, attempt):
+        """Check whether the target of a lost attempt has ended, and record it.
 
-        A group of ranks cuts off all of its streams when one rank ends; only a look
-        at each target tells which one it was.
+        When one rank ends, its whole group breaks off its streams; only a connection to
+        each target shows which rank has ended.
         """
         target = attempt.entry.instance_id
-        # One that leaves ends as planned.
+        # A target that leaves the list ends as planned.
         is_serving = self._parts.targets.is_serving(target)
         written_s = attempt.written_s()
         attempt.has_target_ended = await has_ended(attempt.entry, self._parts.settings)
@@ -307,7 +321,7 @@
     def _group_of(self, entry):
         return self._parts.choice.group_of(entry.instance_id)
 
-    def _note(self, attempt):
+    def _note_result(self, attempt):
         instance_id = attempt.entry.instance_id
         is_late = self._request.deadline.passed()
         self._tried_ids.add(instance_id)
@@ -319,7 +333,7 @@
         if attempt.is_group_fault:
             self._parts.outages.note_declined(group, attempt.sent_at_s)
         elif attempt.result is AttemptResult.DECLINED and attempt.has_free_slots:
-            # One that is full counts as full by its load, until a slot is free.
+            # A target without free slots is avoided by its reported load instead.
             self._parts.avoided.declined(instance_id)
         if not attempt.is_stale:
             self._note_failure(attempt)
@@ -327,13 +341,13 @@
             self._parts.health.succeeded(instance_id)
             self._parts.outages.note_served(group, attempt.sent_at_s)
             self._parts.avoided.answered(instance_id)
-        elif attempt.result in NOT_TO_BLAME or attempt.is_stale or is_late:
+        elif attempt.result in NOT_TARGET_FAILURES or attempt.is_stale or is_late:
             return
         else:
             self._parts.health.failed(instance_id, attempt.reason)
 
     def _note_failure(self, attempt):
-        """Note a target after whose failure it may be cold."""
+        """Record a failure after which the target may have restarted and be cold."""
         instance_id = attempt.entry.instance_id
         is_broken_off = attempt.result is AttemptResult.LOST and attempt.is_broken_off
         if is_broken_off or attempt.result is AttemptResult.UNREACHABLE:
@@ -341,7 +355,7 @@
         elif attempt.result is AttemptResult.LOST and not attempt.has_head:
             self._parts.cold.note_failure(instance_id, attempt.sent_at_s)
 
-    def _may_go_on(self, attempt):
+    def _may_retry(self, attempt):
         """Return whether the request may be sent to another target."""
         if self._request.deadline.passed():
             return False
@@ -354,13 +368,13 @@
             return False
         return self._sent_count < self._request.route.attempt_limit
 
-    def _may_pay_for_repeat(self):
-        """Return whether the budget of repeats has room for the next attempt.
+    def _may_spend_retry(self):
+        """Return whether the retry budget allows the next attempt, and charge it.
 
-        It is asked once a target is chosen: a request that no target can take now must
-        not use up another one's repeat.
+        Called after a target is chosen, so that a request that no target can take does
+        not use up the retry of another request.
         """
-        if not self._attempts or self._attempts[-1].result in NOT_REPEATED:
+        if not self._attempts or self._attempts[-1].result in NOT_CHARGED:
             return True
         if self._parts.budgets.try_spend(self._request.service_name):
             return True
@@ -370,30 +384,34 @@
     async def _answer(self, attempt):
         if attempt.answer is not None:
             attempt.release()
-            await self._reply.whole(attempt.answer)
+            await self._reply.write_answer(attempt.answer)
         return End(Outcome.ANSWERED, Reason.COMPLETE)
 
-    async def _give_up(self, last, refusal):
+    async def _answer_unserved(self, last, refusal):
         """Write the final answer of a request that no target has answered.
 
         Parameters
         ----------
         last : list of Attempt
-            The last attempt, if there was one.
+            The last attempt; empty if there was none.
         refusal : siskinthread.outcomes.End or None
             Why there is no further target.
+
+        Returns
+        -------
+        siskinthread.outcomes.End
         """
         attempt = last[0] if last else None
         if attempt is not None and attempt.result is AttemptResult.FAILED:
             if not self._reply.has_begun:
-                # The target's own failure, in its own words.
-                await self._reply.whole(attempt.answer)
+                # Pass on the error response of the target unchanged.
+                await self._reply.write_answer(attempt.answer)
             return End(Outcome.FAILED_RAN, Reason.TARGET_FAILED, attempt.reason)
         end = self._end(attempt, refusal)
         if not self._reply.has_begun:
             await self._write_end(end)
             if end.outcome is Outcome.REFUSED_NOT_RUN:
-                self._parts.refusals.note(self._request, end, self._came_at_s)
+                self._parts.refusals.note(self._request, end, self._arrived_at_s)
         return end
 
     def _end(self, attempt, refusal):
@@ -423,15 +441,15 @@
         headers = self._parts.wire.own_headers(
             self._request.request_id, end.retry_after_s
         )
-        await self._reply.own(status, headers, own_body(end))
+        await self._reply.write_own_answer(status, headers, error_body(end))
 
 
 def _rounded(time_s):
     return None if time_s is None else round(time_s, 3)
 
 
-def own_body(end):
-    """Return the body of an answer of the gateway itself, as bytes."""
+def error_body(end):
+    """Return the JSON body of an error response of the gateway, as bytes."""
     error = {
         "outcome": end.outcome.label,
         "reason": str(end.reason),
--- a/siskinthread/gateway/_gateway.py
+++ b/siskinthread/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: an entry that passes requests on to targets without agents."""
+"""The gateway, which forwards requests directly to targets."""
 
 from random import Random
 
@@ -34,9 +34,9 @@
     Parameters
     ----------
     settings : GatewaySettings
-        Limits and waits.
+        Limits and times.
     failure_domain : str
-        Where this entry runs.
+        Failure domain of this host.
     wire : object
         Reads and writes headers: ``read_request(head)`` returns `RequestFacts`,
         ``read_answer(head)`` returns `AnswerFacts`, ``target_headers(request, entry,
@@ -49,7 +49,7 @@
     metrics : siskinthread.observability.Metrics
         The registry.
     random : random.Random
-        For ties and spreads.
+        Random generator for tie-breaking and jitter.
     eras : siskinthread.source_eras.EraWatch
         Eras of the sources.
     """
@@ -176,24 +176,24 @@
         )
 
     def hear_peers(self, peers, fetch_snapshot, fetch_table=None, fetch_targets=None):
-        """Count peers' requests, and take over what they know in an outage.
+        """Exchange state with peers, and fall back on their data in an outage.
 
         Parameters
         ----------
         peers : siskinthread.peer_news.PeerNews
-            Exchanges news with them.
+            Exchanges updates with the peers.
         fetch_snapshot : callable
             See `SnapshotFollower`.
         fetch_table, fetch_targets : callable or None
             ``fetch_told`` of `TableFollower` and `TargetFollower`.
         """
-        peers.describe = self._describe
+        peers.describe = self._host_state
         peers.take_listing = self._target_follower.hear
         peers.take_far_listing = self._target_follower.hear_far
         if self._settings.shares_target_reads:
             self._target_follower.far_peers = peers
             self._target_follower.fetch_told = fetch_targets
-        peers.take_reading = self._hear_reading
+        peers.take_reading = self._receive_reading
         self._table_follower.fetch_told = fetch_table
         peers.poison = self.parts.poison
         self.parts.part_guard.peers = peers
@@ -230,19 +230,19 @@
         self._context.confirm_by(self._snapshot_follower.dependency)
 
     def keep_suspects(self, source):
-        """Keep what is known of requests under which targets end in a store.
+        """Persist the register of requests under which targets end.
 
         Parameters
         ----------
         source : object
-            See `siskinthread.poison_requests.PoisonFollower`.
+            Store of the register, see `siskinthread.poison_requests.PoisonFollower`.
 
         Notes
         -----
-        Peers that are heard by `hear_peers` before share the writes.
+        Writes are shared with peers only if `attach_peers` was called before.
         """
         settings = self._settings.poison
-        # Of its own, so that its turns don't depend on what else draws before it.
+        # A separate generator makes its turns independent of other random draws.
         turns = WriteTurns(settings, Random(self.parts.random.random()))
         turns.peers = self._peers
         self._poison_follower = PoisonFollower(
@@ -259,16 +259,17 @@
             self._poison_follower.readers = self._suspect_readers
 
     def table_position(self):
-        """Return up to where this entry hands out what operators publish, or None."""
+        """Return the position up to which this host has the configuration, or None."""
         return self._table_follower.position()
 
     def target_statement(self):
-        """Return up to where this entry knows the list of targets.
+        """Return the position up to which this host knows the target list.
 
         Returns
         -------
         siskinthread.peer_news.ListStatement or None
-            None while the source does not answer, and if no peer may rely on it.
+            None while the source does not answer, and if its era is not comparable with
+            that of peers.
         """
         follower = self._target_follower
         statement = None if follower.dependency.is_lost else follower.statement()
@@ -277,11 +278,11 @@
         return statement
 
     def tasks(self):
-        """Return the endless tasks beside the servers, by name."""
+        """Return the background tasks, as `dict` of name to coroutine function."""
         tasks = {
             "configuration": self._table_follower.run,
             "targets": self._target_follower.run,
-            "upkeep": self._keep_up,
+            "upkeep": self._do_upkeep,
             "reachability": self.parts.reachability_checks.run,
             "waiting requests": self.parts.waiting_room.run,
         }
@@ -294,18 +295,18 @@
         return tasks
 
     async def serve_callers(self, listening_socket):
-        """Serve callers until a drain has finished."""
+        """Serve callers until a drain is complete."""
         await self._callers.run(listening_socket)
 
     async def serve_pages(self, listening_socket, pages):
-        """Serve pages about the process until cancelled.
+        """Serve status pages until cancelled.
 
         Parameters
         ----------
         listening_socket : curio.io.Socket
             A listening socket.
         pages : dict of str to callable
-            Builds the `StatusPage` of each path.
+            Functions that build the `StatusPage` of each path.
         """
 
         def open_session(connection, is_surplus):
@@ -321,15 +322,20 @@
         await server.run(listening_socket)
 
     async def drain(self, stop_limit_s):
-        """Finish what is in flight; return whether that was possible.
+        """Stop accepting requests and wait for those in flight.
 
         Parameters
         ----------
         stop_limit_s : float
             Time until the process is killed, seconds.
+
+        Returns
+        -------
+        bool
+            Whether all requests in flight have completed in time.
         """
         wait_s = max(0.0, stop_limit_s - self._settings.stop_margin_s)
-        # Their callers come back to a host that stays.
+        # Callers of waiting requests retry at another host.
         await self.parts.waiting_room.close("This host is being stopped.")
         return await self._callers.drain(Deadline.after(self._clock, wait_s))
 
@@ -341,7 +347,7 @@
             return "no configuration yet"
         if not self.parts.targets.entries():
             return "no target is known"
-        # Callers that are sent here meanwhile would wait for nothing.
+        # The balancer should not send callers that can't be accepted.
         if not self._callers.has_room:
             return "no connection can be accepted"
         return None
@@ -350,17 +356,17 @@
         return GatewaySession(connection, self._context, is_surplus)
 
     def ready_page(self):
-        """Return the `StatusPage` that tells the balancer whether to send callers."""
+        """Return the readiness `StatusPage` for the load balancer."""
         reason = self.unready_reason()
         if reason is None:
             return StatusPage(STATUS_OK, b"ready\n")
         return StatusPage(STATUS_UNAVAILABLE, f"not ready: {reason}\n".encode())
 
     def metrics_page(self):
-        """Return the `StatusPage` of the metrics."""
+        """Return the `StatusPage` with the metrics."""
         return StatusPage(STATUS_OK, self._metrics.render())
 
-    def _describe(self):
+    def _host_state(self):
         table = self.view.table
         version = 0 if table is None else table.version
         followers = (self._table_follower, self._target_follower)
@@ -385,23 +391,23 @@
             controlled_groups=self.control_home.controlled,
             excess_tokens=self.parts.load_control.excess_tokens(),
             speeds=self.parts.load_control.speeds.statements(),
-            table_reading=self._reading(),
+            table_reading=self._table_reading(),
         )
 
-    def _reading(self):
-        """Return the `TableReading` that this entry tells others, or None."""
+    def _table_reading(self):
+        """Return the `TableReading` that this host sends to peers, or None."""
         reading = self._table_follower.statement()
         if reading is not None and self._suspect_readers is not None:
             reading.suspects = self._suspect_readers.statement()
         return reading
 
-    async def _hear_reading(self, reading, teller):
-        await self._table_follower.hear(reading, teller)
+    async def _receive_reading(self, reading, sender):
+        await self._table_follower.hear(reading, sender)
         if reading.suspects is not None and self._suspect_readers is not None:
-            await self._suspect_readers.hear(reading.suspects, teller)
+            await self._suspect_readers.hear(reading.suspects, sender)
 
-    async def _keep_up(self):
-        """Close connections to targets that rest too long, and sample accounts."""
+    async def _do_upkeep(self):
+        """Sample accounts, drop expired state and close connections, periodically."""
         while True:
             await curio.sleep(self._settings.upkeep_interval_s)
             self.parts.accounts.sample()
--- a/siskinthread/gateway/_idle_connections.py
+++ b/siskinthread/gateway/_idle_connections.py
@@ -1,19 +1,20 @@
-"""Which connections to targets are kept, and for how long."""
+"""Idle connections to targets: their number and their time-out."""
 
 
-def rest_limit_s(settings, stated_s):
-    """Return how long a connection may rest, seconds.
+def idle_time_limit_s(settings, stated_s):
+    """Return how long an idle connection may be kept for reuse, seconds.
 
     Parameters
     ----------
     settings : GatewaySettings
         Limits.
     stated_s : float or None
-        How long the target says that it keeps an idle connection, seconds.
+        Keep-alive time-out that the target states, seconds.
     """
     if stated_s is None:
         return settings.reuse_limit_s
-    # The target's own time runs from its side; half of it is safe from a race.
+    # The target's time-out starts on its side.  Half of it avoids sending a request
+    # while the target closes the connection.
     return min(settings.connections.stated_reuse_limit_s, stated_s / 2)
 
 
@@ -27,9 +28,9 @@
 
     Notes
     -----
-    It opens and closes nothing: methods return the connections that their caller
-    closes.  A connection has ``is_fresh()``, which tells whether it may carry another
-    request.
+    This class does not open or close connections: its methods return the connections
+    that the calling code must close.  ``is_reusable()`` of a connection returns whether
+    it may carry another request.
     """
 
     __slots__ = ("_by_target", "_settings", "_target_of")
@@ -37,16 +38,16 @@
     def __init__(self, settings):
         self._settings = settings
         self._by_target = {}
-        # The target of each connection, the one that has rested longest first.
+        # Instance id by connection, the longest idle connection first.
         self._target_of = {}
 
     def __len__(self):
         return len(self._target_of)
 
-    def has_fresh(self, instance_id):
-        """Return whether a connection to a target may carry another request."""
+    def has_reusable(self, instance_id):
+        """Return whether a reusable connection to a target exists."""
         idle = self._by_target.get(instance_id, ())
-        return any(connection.is_fresh() for connection in reversed(idle))
+        return any(connection.is_reusable() for connection in reversed(idle))
 
     def has_room(self, instance_id):
         """Return whether one more connection to a target may be kept."""
@@ -55,7 +56,7 @@
         return has_any and len(self._by_target.get(instance_id, ())) < limit
 
     def add(self, instance_id, connection):
-        """Keep a connection; return those that are too many."""
+        """Keep a connection; return the oldest ones beyond the total limit."""
         self._by_target.setdefault(instance_id, []).append(connection)
         self._target_of[connection] = instance_id
         surplus = []
@@ -66,28 +67,29 @@
         return surplus
 
     def take(self, instance_id):
-        """Return the newest usable connection to a target, or None.
+        """Remove and return the newest reusable connection to a target, or None.
 
-        Unusable ones are left to `drop_stale`, so that no request waits for their end.
+        Other connections are left to `drop_unusable`, so that no request waits until
+        they are closed.
         """
         for connection in reversed(self._by_target.get(instance_id, ())):
-            if connection.is_fresh():
+            if connection.is_reusable():
                 self._remove(connection)
                 return connection
         return None
 
-    def drop_stale(self, known_ids):
-        """Drop and return unusable connections, and all to other targets than some.
+    def drop_unusable(self, known_ids):
+        """Remove and return connections that are unusable or lead to unknown targets.
 
         Parameters
         ----------
         known_ids : set of str
-            The targets that may get requests.
+            Instance ids of the targets that may get requests.
         """
         dropped = [
             connection
             for connection, instance_id in self._target_of.items()
-            if instance_id not in known_ids or not connection.is_fresh()
+            if instance_id not in known_ids or not connection.is_reusable()
         ]
         for connection in dropped:
             self._remove(connection)
--- a/siskinthread/gateway/_parts.py
+++ b/siskinthread/gateway/_parts.py
@@ -1,4 +1,4 @@
-"""What all requests of one gateway share."""
+"""State that all requests of one gateway share."""
 
 import math
 
@@ -112,19 +112,19 @@
         self._cold.labels(service_name).inc()
 
     def part_suspected(self, result):
-        """Count a request with a suspected part, `tried` or `refused`."""
+        """Count a request with a suspected part of a prompt, `tried` or `refused`."""
         self._parts.labels(result).inc()
 
     def connection_taken(self, kind):
-        """Count a connection that an attempt is sent on, `new` or `kept`."""
+        """Count a connection that an attempt uses, `new` or `kept`."""
         self._connections.labels(kind).inc()
 
     def connection_preferred(self, basis):
-        """Count a choice of a target by its `PreferenceBasis`."""
+        """Count a target selection by its `PreferenceBasis`."""
         self._preferences.labels(basis.value).inc()
 
     def placed_by_speed(self, result):
-        """Count a choice that left out slower targets, or that tried one."""
+        """Count a target selection that excluded slow targets, or that tried one."""
         self._placed.labels(result).inc()
 
     def withheld_at_write(self):
@@ -136,28 +136,28 @@
         self._withheld.labels("choice").inc()
 
     def request_ended(self, route_name, status, outcome, took_s):
-        """Count a request."""
+        """Count an ended request and its duration."""
         self._requests.labels(route_name, str(status), outcome.label).inc()
         self._seconds.labels(route_name).observe(took_s)
 
 
 class GatewayParts:
-    """The parts that requests need.
+    """Components that requests use.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Limits and waits.
+        Limits and times.
     failure_domain : str
-        Where this entry runs.
+        Failure domain of this host.
     wire : object
-        Reads and writes the headers between callers, this entry and targets.
+        Reads and writes the headers exchanged with callers and targets, see `Gateway`.
     clock : siskinthread.timing.Clock
         Clocks.
     metrics : siskinthread.observability.Metrics
         The registry.
     random : random.Random
-        For ties and spreads.
+        Random generator for tie-breaking and jitter.
     """
 
     __slots__ = (
@@ -215,7 +215,8 @@
         self.outages = GroupOutages(
             settings, clock, self.targets, self.health, self.progress, metrics
         )
-        # By the choice's own, which is set once groups are known.
+        # Looked up on each call, as `choice.group_of` is replaced once groups are
+        # known.
         self.outages.group_of = lambda instance_id: self.choice.group_of(instance_id)
         self.accounts = AccountShares(settings, clock)
         self.slow_targets = SlowTargets(settings, clock)
@@ -230,7 +231,8 @@
         self.cold.evacuations = self.evacuations
         self.targets.listen_to_entries(self.cold.note_entry)
         self.load_control = LoadControl(self)
-        # By the choice's own, which is set once groups are known.
+        # Looked up on each call, as `choice.group_of` is replaced once groups are
+        # known.
         self.load_control.speeds.group_of = lambda one: self.choice.group_of(one)
         self.targets.listen(self._forget)
         self.choice = TargetChoice(self, failure_domain)
@@ -241,14 +243,14 @@
         self.refusals = Refusals(self, metrics)
 
     def note_demands(self, entry, facts):
-        """Take what a target asks of this entry, besides a rate, in any answer.
+        """Record the demands of a target in any answer, except for rate limits.
 
         Parameters
         ----------
         entry : TargetEntry
             The target.
         facts : AnswerFacts
-            What its answer states.
+            Headers of its answer.
         """
         if facts.stated_backoff.wait_s > 0:
             self.measures.backoff_requested(entry.service_name)
@@ -256,10 +258,10 @@
             self.targets.note_says_leaving(entry.instance_id)
 
     def note_other_answer(self, entry, sent_at_s, facts):
-        """Take what a target states in an answer to something else than a request.
+        """Record what a target states in an answer to an internal call.
 
-        It need not state there all that it does in answers to requests, so that what
-        is missing ends nothing.
+        Such answers may lack headers that answers to requests have, so a missing header
+        does not revoke an earlier statement.
         """
         if facts.stated_limit.rate_per_s is not None:
             self.limits.note_answer(entry, sent_at_s, facts.stated_limit)
@@ -269,7 +271,7 @@
         self.note_demands(entry, facts)
 
     def _forget(self, entry):
-        """Drop what is known of a target that gets no more requests."""
+        """Drop the state of a target that gets no more requests."""
         self.health.forget(entry.instance_id)
         self.loads.forget(entry.instance_id)
         self.limits.forget(entry.instance_id)
--- a/siskinthread/gateway/_waiting_seat.py
+++ b/siskinthread/gateway/_pending_request.py
@@ -1,30 +1,30 @@
-"""A request that waits, and the metrics of all that do."""
+"""A waiting request, and the metrics of waiting requests."""
 
 import curio
 
 DEPTH_BUCKETS = (0, 1, 2, 5, 10, 20, 50, 100, 200)
 
 
-class Seat:
-    """A request that waits, and what became of it.
+class PendingRequest:
+    """A waiting request and its outcome.
 
     Parameters
     ----------
     waiter : siskinthread.load_control.Waiter
-        Its place in the queue.
+        Position in the queue.
     request : GatewayRequest
         The request.
     tried_ids : set of str
-        Targets that have declined it.
+        Instance ids of targets that have declined the request.
     refusal : TargetRefusal
-        Why it waits.
+        Why the request waits; the answer to the caller if the wait times out.
 
     Attributes
     ----------
     outcome : TargetEntry or siskinthread.outcomes.End or None
-        Its target or its refusal, once the wait is over.
+        The target or the refusal; None while the request waits.
     settled : curio.Event
-        Set then.
+        Set when the task that serves the request should read `outcome`.
     """
 
     __slots__ = ("outcome", "refusal", "request", "settled", "tried_ids", "waiter")
@@ -39,7 +39,7 @@
 
 
 class WaitingMeasures:
-    """Metrics of requests that wait.
+    """Metrics of waiting requests.
 
     Parameters
     ----------
--- a/siskinthread/gateway/_refusals.py
+++ b/siskinthread/gateway/_refusals.py
@@ -1,4 +1,4 @@
-"""The log line and the count of each refused request."""
+"""Logging and counting of refused requests."""
 
 from siskinthread.gateway._target_refusal import TargetRefusal
 from siskinthread.observability import part_logger
@@ -7,12 +7,12 @@
 
 
 class Refusals:
-    """Tells why requests are refused that had a route.
+    """Logs and counts refusals of requests that matched a route.
 
     Parameters
     ----------
     parts : GatewayParts
-        Clock, waiting room, book of returns and slots.
+        Clock, waiting room, return times and share of slots.
     metrics : siskinthread.observability.Metrics
         The registry.
     """
@@ -30,7 +30,7 @@
             ("kind", "priority", "cause"),
         )
 
-    def note(self, request, end, came_at_s):
+    def note(self, request, end, arrived_at_s):
         """Log and count a refusal that was written.
 
         Parameters
@@ -38,14 +38,14 @@
         request : GatewayRequest
             The request.
         end : siskinthread.outcomes.End
-            Its refusal.
-        came_at_s : float
-            When it came, monotonic seconds.
+            The refusal.
+        arrived_at_s : float
+            Arrival of the request, monotonic seconds.
         """
         cause = str(end.reason)
         if isinstance(end, TargetRefusal):
             cause = end.cause.value
-        # Deciding it may promise a place, so that it comes first.
+        # Read first, as the first read may book a return that is logged below.
         told_s = _rounded(end.retry_after_s)
         service_name = request.service_name
         self._count.labels(request.kind.value, str(request.priority), cause).inc()
@@ -64,7 +64,7 @@
             slots=self._share.slot_count(service_name),
             waiting=self._room.waiting_count(service_name),
             booked_returns=self._returns.booked_count(service_name),
-            took_s=round(self._clock.monotonic_s() - came_at_s, 3),
+            took_s=round(self._clock.monotonic_s() - arrived_at_s, 3),
             told_s=told_s,
             left_s=round(request.deadline.left_s(), 3),
         )
--- a/siskinthread/gateway/_reply.py
+++ b/siskinthread/gateway/_reply.py
@@ -1,4 +1,4 @@
-"""The one answer that a caller gets, from however many attempts."""
+"""The answer to a caller, assembled from one or more attempts."""
 
 import h11
 
@@ -16,11 +16,11 @@
     Parameters
     ----------
     connection : siskinthread.http_server.CallerConnection
-        Where to write.
+        The connection.
     wire : object
-        Chooses the headers that go on to the caller.
+        Selects the headers that are passed on to the caller.
     context : GatewayContext
-        Tells whether the connection ends with this answer.
+        Its `draining` decides whether the connection closes after this answer.
     request : GatewayRequest
         The request.
     clock : siskinthread.timing.Clock
@@ -29,15 +29,17 @@
     Attributes
     ----------
     has_begun : bool
-        Whether the caller has the head.
+        Whether the head was written.
     has_ended : bool
-        Whether the caller has the whole answer.
+        Whether the complete answer was written.
     last_event_id : int or None
-        Id of the last event that the caller has.
+        Id of the last event that was written; initially the one stated in the request.
     first_written_at_s : float or None
-        When the first bytes were written, monotonic seconds.
+        Start of the first write, monotonic seconds.
     longest_pause_s : float
         Longest time between two writes of events, seconds.
+    status : int or None
+        HTTP status, once it is written.
     """
 
     __slots__ = (
@@ -68,7 +70,7 @@
         self.last_event_id = request.facts.last_event_id
 
     async def begin(self, head):
-        """Write the head of an answer whose body follows in parts."""
+        """Write the head of an answer whose body follows in pieces."""
         if self.has_begun:
             raise InvariantError("an answer can't have two heads")
         self.has_begun = True
@@ -80,19 +82,19 @@
         await self._send(self._connection.write_data, data)
 
     async def write_events(self, events):
-        """Write whole events and note which one was the last."""
+        """Write complete events and record the id of the last one."""
         self._note_pause()
         await self._send(self._connection.write_data, events.data)
         if events.last_id is not None:
             self.last_event_id = events.last_id
 
     async def end(self):
-        """Write the end, which says that the answer is whole."""
+        """Write the end marker, which shows that the answer is complete."""
         await self._send(self._connection.write_end)
         self.has_ended = True
 
-    async def whole(self, answer):
-        """Write a `WholeAnswer` at once."""
+    async def write_answer(self, answer):
+        """Write a `WholeAnswer` with its length."""
         self.has_begun = True
         self.status = answer.head.status
         headers = self._headers(answer.head)
@@ -103,13 +105,13 @@
         )
         self.has_ended = True
 
-    async def own(self, status, headers, body):
-        """Write an answer of the gateway itself."""
+    async def write_own_answer(self, status, headers, body):
+        """Write an answer that the gateway itself produced."""
         self.has_begun = True
         self.status = status
         headers = [*headers, ("content-length", str(len(body)))]
         await self._send(
-            self._connection.write_whole, status, self._closing(headers), body
+            self._connection.write_whole, status, self._with_close(headers), body
         )
         self.has_ended = True
 
@@ -121,9 +123,9 @@
         self._last_written_at_s = now_s
 
     def _headers(self, head):
-        return self._closing(self._wire.answer_headers(head))
+        return self._with_close(self._wire.answer_headers(head))
 
-    def _closing(self, headers):
+    def _with_close(self, headers):
         if self._context.draining:
             headers.append(("connection", "close"))
         return headers
@@ -134,7 +136,7 @@
         try:
             await write(*arguments)
         except ConnectionLostError as error:
-            # Not to be taken for a failure of the target, which would be blamed.
+            # A separate error type keeps this from counting as a target failure.
             raise CallerLeftError(str(error)) from error
         except h11.LocalProtocolError as error:
             raise TargetError(f"the answer can't be passed on: {error}") from error
--- a/siskinthread/gateway/_request.py
+++ b/siskinthread/gateway/_request.py
@@ -1,8 +1,8 @@
-"""A caller's request on its way through the gateway."""
+"""A caller's request, and the facts that headers of requests and answers state."""
 
 from siskinthread.poison_requests import fingerprint, part_name
 
-# Ids of parts in a log line.
+# Number of part ids in a log line.
 LOGGED_PARTS_LIMIT = 8
 
 
@@ -11,8 +11,10 @@
 
     Parameters
     ----------
-    prompt, most_output : int
-        Tokens of the prompt, and the most tokens that the answer may have.
+    prompt : int
+        Number of tokens of the prompt.
+    most_output : int
+        Largest number of tokens that the answer may have.
     """
 
     __slots__ = ("most_output", "prompt")
@@ -23,25 +25,25 @@
 
 
 class RequestFacts:
-    """What the headers of a request state.
+    """Facts that the headers of a request state.
 
     Parameters
     ----------
     request_id : str
-        The caller's id of this attempt; empty if it gave none.
+        The caller's id of this attempt; empty if not stated.
     api_key : str or None
-        The caller's key.
+        The caller's API key.
     wait_limit_s : float or None
         How long the caller will wait, seconds.
     last_event_id : int or None
-        Id of the last event that the caller has of a stream.
+        Id of the last event of a stream that the caller has received.
     token_counts : TokenCounts or None
-        Its size, if the caller states it.
+        Size of the request, if stated.
     output_hint : int or None
-        The caller's estimate of the tokens of the answer, which is often far off.
+        The caller's estimate of the number of output tokens, which is often far off.
     shared_parts : tuple of str
-        Ids of the parts of its prompt that other requests may have as well, in their
-        order: all but the last one, which is its own.
+        Ids of the parts of the prompt that other requests may share, in order: all
+        parts but the last one, which is specific to the request.
     """
 
     __slots__ = (
@@ -81,33 +83,34 @@
     head : siskinthread.http_server.RequestHead
         Request line and headers as the caller sent them.
     body : bytes
-        The whole body.
+        The complete body.
     facts : RequestFacts
-        What its headers state.
+        Facts that its headers state.
     route : Route
-        The route in force when it came.
+        The route in force on arrival.
     service_name : str
-        Service that it goes to.
+        Service that gets the request.
     account : Account or None
-        Whose key it carries; None on a public route.
+        Client account of the API key; None if no key is required.
     table_version : int
-        Version of the routes that it was accepted by.
+        Version of the routes in force on arrival.
     deadline : siskinthread.timing.Deadline
-        When its final answer is due.
+        When the final answer is due.
 
     Attributes
     ----------
     is_return : bool
-        Whether its caller was refused before and has come back as it was told.
+        Whether the caller was refused before and has retried after the announced delay.
     has_promise : bool
-        Whether it is a return for which this host had promised a place.
+        Whether the request is a return for which this host has booked a place.
     is_return_promised : bool
-        Whether its caller was refused and promised a place at its return.
+        Whether a place was booked for the return of the caller when this request was
+        refused.
     is_late : bool
-        Whether its answer can't be in time for its objective any more.
+        Whether the answer can no longer meet the latency objective.
     is_paced : bool
-        Whether it waits and is sent at a pace that allows for what peers send, so that
-        it may have one of the last free slots.
+        Whether the request has waited and is released at a pace that accounts for the
+        requests of peers, so that it may use one of the last free slots.
     """
 
     __slots__ = (
@@ -154,7 +157,7 @@
 
     @property
     def fingerprint(self):
-        """What all tries of its caller at this request have in common."""
+        """Digest that is the same for all attempts and retries of this request."""
         if self._fingerprint is None:
             caller = self.account.name if self.account else self.facts.api_key or ""
             host = self.head.value("host") or ""
@@ -163,7 +166,7 @@
 
     @property
     def part_names(self):
-        """Names under which the shared parts of its prompt are suspected, a tuple."""
+        """Names of the shared parts in the register of suspects, `tuple` of `str`."""
         if self._part_names is None:
             self._part_names = tuple(
                 part_name(self.service_name, one) for one in self.facts.shared_parts
@@ -171,29 +174,31 @@
         return self._part_names
 
     def logged_parts(self):
-        """Return the ids of the first shared parts of its prompt, for the log."""
+        """Return the ids of the first shared parts of the prompt, for the log."""
         return list(self.facts.shared_parts[:LOGGED_PARTS_LIMIT])
 
     @property
     def kind(self):
-        """What may be repeated, a `RequestKind`."""
+        """`RequestKind`, which states how the request may be repeated."""
         return self.route.kind
 
     @property
     def priority(self):
-        """Rank of the request, 0 first; the account's goes before the route's."""
+        """Priority, 0 is the most urgent; the account's overrides the route's."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
 
 
 class LoadReport:
-    """Load that a target states with an answer.
+    """Load that a target states in an answer.
 
     Parameters
     ----------
-    running, waiting, slot_count : int
-        Requests that run, that wait, and that can run at once.
+    running, waiting : int
+        Number of running and of queued requests.
+    slot_count : int
+        Number of requests that can run at once.
     """
 
     __slots__ = ("running", "slot_count", "waiting")
@@ -205,33 +210,33 @@
 
 
 class AnswerFacts:
-    """What the headers of a target's answer state.
+    """Facts that the headers of a target's answer state.
 
     Parameters
     ----------
     request_id : str or None
-        The request that it answers.
+        Id of the answered request.
     not_run : bool
-        Whether the target says that it did not and will not run the request.
+        Whether the target states that it did not and will not run the request.
     is_other_instance : bool
-        Whether another target than the expected one listens at the address.
+        Whether another instance than the expected one listens at the address.
     is_group_fault : bool
-        Whether the target declines since another rank of its group has failed.
+        Whether the target declines because another rank of its group has failed.
     load : LoadReport or None
-        The target's load.
-    rest_limit_s : float or None
-        How long the target keeps an idle connection, seconds.
+        Load of the target.
+    keep_alive_s : float or None
+        Keep-alive time-out of the target, seconds.
     closes : bool
-        Whether the connection ends with this answer.
+        Whether the connection closes after this answer.
     stated_limit : siskinthread.target_limits.StatedLimit
-        What it says of the rate of requests that the target takes.
+        Rate limit of the target.
     stated_backoff : siskinthread.target_limits.StatedBackoff
-        For how long the target wants no request from this entry.
+        Back-off that the target requests from this host.
     is_leaving : bool
-        Whether it says that the target leaves.
+        Whether the target announces that it leaves.
     cold_left_s : float or None
-        For how long the target says that it is cold after a start, seconds; None if
-        it does not say.
+        Remaining time for which the target is cold after a start, seconds; None if not
+        stated.
     """
 
     __slots__ = (
--- a/siskinthread/gateway/_return_times.py
+++ b/siskinthread/gateway/_return_times.py
@@ -1,23 +1,26 @@
-"""When refused callers are told to come back, and what becomes of those that do."""
+"""Retry-after times of refused callers, and the requests that come back then."""
 
 from siskinthread.load_control import BindingCause, ReturnBook, ReturningCallers
 from siskinthread.observability import part_logger
 
 _logger = part_logger("gateway")
 
-# Limits and back-offs give callers places of their own, at the rate that they allow.
-OWN_PLACES = (BindingCause.LIMITED, BindingCause.BACKED_OFF)
+# Rate limits and back-offs schedule the retries themselves, at the rate they allow.
+SELF_SCHEDULED_CAUSES = (BindingCause.LIMITED, BindingCause.BACKED_OFF)
 
 
 class ReturnTimes:
-    """The one place where the time that a refused caller is told is decided.
+    """Decides how long each refused caller should wait before it retries.
+
+    A caller may be promised a place: its return is booked in a `ReturnBook`, which
+    keeps a slot for it at the announced time.
 
     Parameters
     ----------
     parts : GatewayParts
-        Settings, waiting room, chance, clock.
+        Settings, waiting room, random generator and clock.
     share : HostShare
-        Slots of a service that are this host's.
+        Share of the slots of a service that this host may use.
     metrics : siskinthread.observability.Metrics
         The registry.
     """
@@ -26,7 +29,7 @@
         "_books",
         "_broken_count",
         "_clock",
-        "_gives_way",
+        "_late_gives_way",
         "_load_control",
         "_random",
         "_returning",
@@ -34,13 +37,13 @@
         "_room",
         "_settings",
         "_share",
-        "_share_of_left",
+        "_longest_delay_share",
     )
 
     def __init__(self, parts, share, metrics):
         self._settings = parts.settings.returns
-        self._gives_way = parts.settings.load_control.late_gives_way
-        self._share_of_left = parts.settings.return_limit_share
+        self._late_gives_way = parts.settings.load_control.late_gives_way
+        self._longest_delay_share = parts.settings.return_limit_share
         self._clock = parts.clock
         self._random = parts.random
         self._room = parts.waiting_room
@@ -60,13 +63,16 @@
             parts.choice.return_times = self
             self._room.returns = self
 
-    def note_came(self, request):
-        """Take in a request of a caller, and note whether its caller has come back."""
+    def note_arrival(self, request):
+        """Record a new request, and mark it if it is a return after a refusal.
+
+        Sets ``is_return``, ``is_late`` and ``has_promise`` of the request.
+        """
         left_s = request.facts.wait_limit_s
         request.is_return = self._returning.note(request.route.name, left_s)
         request.is_late = request.is_return and request.route.objective_s is not None
         if request.is_return:
-            request.has_promise = self._is_due(request)
+            request.has_promise = self._has_booked_place(request)
             result = "kept" if request.has_promise else "unpromised"
             self._returns.labels(result).inc()
             _logger.event(
@@ -80,37 +86,46 @@
             )
         self._count_broken()
 
-    def after_s(self, request, cause, present_s):
-        """Return when a refused caller should come back, and book its return.
+    def retry_delay_s(self, request, cause, default_s):
+        """Return how long a refused caller should wait, and book its return.
 
         Parameters
         ----------
         request : GatewayRequest
-            The request.
+            The refused request.
         cause : siskinthread.load_control.BindingCause
-            What binds.
-        present_s : float
-            What it is told where nothing better is known, seconds.
+            Why the request is refused.
+        default_s : float
+            Delay to use if no better estimate is available, seconds.
+
+        Returns
+        -------
+        float
+            Delay before the retry, seconds.
         """
-        told_s = self._after_s(request, cause, present_s)
+        delay_s = self._decide_delay_s(request, cause, default_s)
         if not request.is_return:
-            self._returning.note_told(told_s)
-        return told_s
+            self._returning.note_told(delay_s)
+        return delay_s
 
-    def _after_s(self, request, cause, present_s):
-        """Do what `after_s` does, but for noting that the caller was told."""
+    def _decide_delay_s(self, request, cause, default_s):
+        """Implement `retry_delay_s`, except for recording the announced delay."""
         usual_s = self._room.request_times.known_s(request.route.name)
-        if cause in OWN_PLACES or cause is BindingCause.NO_TARGET or not usual_s:
-            return present_s
+        if (
+            cause in SELF_SCHEDULED_CAUSES
+            or cause is BindingCause.NO_TARGET
+            or not usual_s
+        ):
+            return default_s
         expected_s = self._room.expected_left_s(request.service_name)
         if cause is BindingCause.OUTAGE and not expected_s:
-            return present_s
+            return default_s
         rate_per_s = self._share.rate_per_s(request.service_name, usual_s)
         book = self._book(request.service_name)
         if rate_per_s <= 0 or book is None:
-            return present_s
+            return default_s
         left_s = request.deadline.left_s()
-        latest_s = left_s * self._share_of_left
+        latest_s = left_s * self._longest_delay_share
         earliest_s = max(
             left_s * self._settings.told_least_share,
             expected_s * self._settings.outage_margin,
@@ -120,7 +135,7 @@
             request.route.name, left_s, latest_s
         )
         booked = None
-        # A caller that has come back has no further try.
+        # A caller that has already retried does not retry again.
         if not request.is_return:
             booked = book.book(
                 request.priority,
@@ -134,23 +149,23 @@
             self._returns.labels("last_step").inc()
             return latest_s
         self._returns.labels("told").inc()
-        told_s = booked.begin_s + self._random.random() * self._settings.step_s
-        return min(max(told_s, earliest_s), promised_s)
+        delay_s = booked.begin_s + self._random.random() * self._settings.step_s
+        return min(max(delay_s, earliest_s), promised_s)
 
     def note_refused(self, request):
-        """Count a refusal of a caller that had come back."""
+        """Count the refusal of a request that is a return."""
         if request.is_return:
             result = "refused_promised" if request.has_promise else "refused_again"
             self._returns.labels(result).inc()
 
     def leaves_room(self, request):
-        """Return whether a newcomer takes no slot from callers that come back now."""
+        """Return whether a new request leaves enough slots for returns due now."""
         book = self._books.get(request.service_name)
         usual_s = self._room.request_times.known_s(request.route.name)
         if request.is_return or book is None or not usual_s:
             return True
-        if self._gives_way and request.route.objective_s is not None:
-            # Those that come back are late, and it need not be.
+        if self._late_gives_way and request.route.objective_s is not None:
+            # Returns already miss their objective; the new request can still meet it.
             return True
         if not book.due_count(request.priority, self._settings.room_ahead_s):
             return True
@@ -163,23 +178,23 @@
         )
 
     def booked_count(self, service_name):
-        """Return how many callers of a service are expected to come back."""
+        """Return the number of booked returns of a service."""
         book = self._books.get(service_name)
         return 0 if book is None else book.booked_count()
 
-    def _is_due(self, request):
-        """Return whether a place is due to a caller that has come back."""
+    def _has_booked_place(self, request):
+        """Return whether a return has a booked place that is due now."""
         book = self._books.get(request.service_name)
         if book is None:
             return False
         may_have = self._returning.may_have_promise(
-            request.route.name, request.facts.wait_limit_s, self._share_of_left
+            request.route.name, request.facts.wait_limit_s, self._longest_delay_share
         )
         return may_have and book.note_came(request.priority)
 
     def _in_time_per_s(self, request):
-        """Return the requests a second that a late return would make late."""
-        if not self._gives_way or request.route.objective_s is None:
+        """Return the rate of requests that a late return would delay, per second."""
+        if not self._late_gives_way or request.route.objective_s is None:
             return 0.0
         return self._load_control.in_time_per_s(request.service_name, request.priority)
 
--- a/siskinthread/gateway/_session.py
+++ b/siskinthread/gateway/_session.py
@@ -1,7 +1,7 @@
-"""The requests of one caller's connection, passed on to targets."""
+"""Session of one caller connection, whose requests are forwarded to targets."""
 
 from siskinthread.errors import CallerLeftError, TargetError
-from siskinthread.gateway._forwarding import Forwarding, own_body
+from siskinthread.gateway._forwarding import error_body, Forwarding
 from siskinthread.gateway._reply import Reply
 from siskinthread.gateway._request import GatewayRequest
 from siskinthread.http_server import Refusal, refuse, Session
@@ -13,16 +13,16 @@
 
 
 class Accepted:
-    """What the head of a request asks, once nothing speaks against it.
+    """Route and client account of a request that passed the checks of its head.
 
     Parameters
     ----------
     table : RouteTable
         The routes in force.
     route : Route
-        The route that serves it.
+        The matching route.
     account : Account or None
-        Whose key it carries.
+        Client account of the API key; None if no key is required.
     """
 
     __slots__ = ("account", "route", "table")
@@ -41,9 +41,10 @@
     connection : siskinthread.http_server.CallerConnection
         The connection.
     context : GatewayContext
-        What all connections share.
+        State that all connections share.
     is_surplus : bool
-        Whether the connection is beyond the limit; it gets a refusal and is closed.
+        Whether the connection exceeds the limit; its request is refused and it is
+        closed.
     """
 
     __slots__ = ("_facts", "_is_surplus", "_received_at_s")
@@ -55,7 +56,7 @@
         self._received_at_s = None
 
     async def answer(self, head):
-        """Answer one request; return whether the connection may go on."""
+        """Answer one request; return whether the connection may be reused."""
         context = self.context
         self._received_at_s = context.parts.clock.monotonic_s()
         self._facts = context.parts.wire.read_request(head)
@@ -74,7 +75,7 @@
             share.release()
 
     async def refuse(self, refusal, in_transfer=False):
-        """Write a refusal; return whether the connection may go on."""
+        """Write a refusal; return whether the connection may be reused."""
         request_id = "" if self.head is None else self._facts.request_id
         headers = self.context.parts.wire.own_headers(
             request_id, refusal.end.retry_after_s
@@ -82,7 +83,7 @@
         closes = refusal.closes or in_transfer or self.context.draining
         if closes:
             headers.append(("connection", "close"))
-        body = own_body(refusal.end)
+        body = error_body(refusal.end)
         headers.append(("content-length", str(len(body))))
         await self.connection.write_whole(refusal.status, headers, body)
         self._log(None, refusal.status, refusal.end, [])
@@ -110,10 +111,11 @@
         return Accepted(table, route, account)
 
     def _deny(self, reason, message):
-        """Return the `Refusal` of what the configuration does not allow.
+        """Return the `Refusal` of a request that the configuration does not allow.
 
-        While the configuration may be out of date, the caller is asked to come back:
-        a newer one may allow it, and the word of this host would be final for it.
+        While the configuration may be out of date, the caller is asked to retry: a
+        newer version may allow the request, and a definite refusal would end its
+        retries.
         """
         if self.context.is_table_fresh():
             return refuse(reason, message)
@@ -145,7 +147,7 @@
         except CallerLeftError as error:
             end = End(Outcome.UNKNOWN, Reason.CANCELLED, str(error))
         except TargetError as error:
-            # The answer is not HTTP that can be passed on; the connection is closed.
+            # The answer can't be passed on as valid HTTP, so the connection is closed.
             end = End(Outcome.FAILED_RAN, Reason.TARGET_FAILED, str(error))
         finally:
             if end.reason is Reason.CANCELLED and forwarding.is_unsent():
--- a/siskinthread/gateway/_slow_sends.py
+++ b/siskinthread/gateway/_slow_sends.py
@@ -1,16 +1,16 @@
-"""Bodies of requests on their way to targets, and which of them is taken slowest."""
+"""Request bodies that are being sent to targets, and the slowest of them."""
 
 from siskinthread.observability import part_logger
 
-# A body that fits the memory of a host is on its way within this time where the target
-# takes it.
+# A body within the memory limits of a host is sent within this time if its target reads
+# it.
 SLOW_SEND_S = 1.0
 
 _logger = part_logger("gateway")
 
 
 class SlowSends:
-    """The connections over which requests are sent.
+    """Tracks the connections on which requests are being sent.
 
     Parameters
     ----------
@@ -19,8 +19,8 @@
 
     Notes
     -----
-    A body is held until its request ends.  Some targets that take nothing would fill
-    the memory for bodies until the deadlines of their requests.
+    A body stays in memory until its request ends.  A few targets that do not read would
+    otherwise exhaust the memory for bodies until the deadlines of their requests.
     """
 
     __slots__ = ("_clock", "_connections")
@@ -30,17 +30,18 @@
         self._connections = set()
 
     def began(self, connection):
-        """Note a `TargetConnection` that a request is sent over."""
+        """Add a `TargetConnection` on which a request is sent."""
         self._connections.add(connection)
 
     def ended(self, connection):
-        """Forget a connection whose exchange has ended."""
+        """Remove a connection whose exchange has ended."""
         self._connections.discard(connection)
 
     async def end_slowest(self):
-        """End the exchange whose target takes the body most slowly, if one is slow.
+        """End the exchange with the lowest send rate among those that are slow.
 
-        Its request goes on at another target if it may, and else is answered as lost.
+        Its request is retried at another target if it may run twice; otherwise its
+        caller gets the outcome unknown.
         """
         rates = {}
         for connection in self._connections:
@@ -59,4 +60,4 @@
         try:
             await slowest.end_exchange()
         except OSError as error:
-            _logger.event("slowest body has ended by itself", reason=repr(error))
+            _logger.event("slowest body had already ended", reason=repr(error))
--- a/siskinthread/gateway/_status.py
+++ b/siskinthread/gateway/_status.py
@@ -1,4 +1,4 @@
-"""What the process tells about itself over HTTP: readiness and metrics."""
+"""Status pages of the process over HTTP, such as readiness and metrics."""
 
 from siskinthread.http_server import Session
 
@@ -9,14 +9,14 @@
 
 
 class StatusPage:
-    """An answer about the process.
+    """A status page.
 
     Parameters
     ----------
     status : int
         HTTP status.
     body : bytes
-        Text.
+        Text of the page.
     """
 
     __slots__ = ("body", "status")
@@ -34,9 +34,9 @@
     connection : siskinthread.http_server.CallerConnection
         The connection.
     context : GatewayContext
-        What all connections share.
+        State that all connections share.
     pages : dict of str to callable
-        Builds the `StatusPage` of each path.
+        Functions that build the `StatusPage` of each path.
     """
 
     __slots__ = ("_pages",)
@@ -46,7 +46,7 @@
         self._pages = pages
 
     async def answer(self, head):
-        """Answer one request; return whether the connection may go on."""
+        """Answer one request; return whether the connection may be reused."""
         body = await self.connection.read_body(self.context.bodies.share())
         if not isinstance(body, bytes):
             return await self.refuse(body)
@@ -56,7 +56,7 @@
         return await self._write(build())
 
     async def refuse(self, refusal, in_transfer=False):
-        """Write a refusal and end the connection."""
+        """Write a refusal; the connection may not be reused after it."""
         await self._write(StatusPage(refusal.status, refusal.end.message.encode()))
         return False
 
--- a/siskinthread/gateway/_stream_progress.py
+++ b/siskinthread/gateway/_stream_progress.py
@@ -1,17 +1,17 @@
-"""What one stream tells of the progress of its group."""
+"""Progress of one stream, reported to the progress of its group."""
 
 
 class StreamProgress:
-    """Tells the progress of a stream to that of its group, if it has one.
+    """Reports the events of a stream to `GroupProgress`, if its target has a group.
 
     Parameters
     ----------
     progress : GroupProgress
-        That of all groups.
+        Progress of all groups.
     group : str or None
-        The stream's group.
+        Group of the target.
     instance_id : str
-        The stream's target.
+        Instance id of the target.
     """
 
     __slots__ = ("_group", "_has_begun", "_instance_id", "_progress")
@@ -23,7 +23,7 @@
         self._has_begun = False
 
     def event_came(self):
-        """Note an event."""
+        """Record an event."""
         if self._group is None:
             return
         if not self._has_begun:
@@ -32,6 +32,6 @@
         self._progress.event_came(self._group)
 
     def end(self):
-        """Note that the stream is over."""
+        """Record the end of the stream."""
         if self._has_begun:
             self._progress.stream_ended(self._group, self._instance_id)
--- a/siskinthread/gateway/_target_choice.py
+++ b/siskinthread/gateway/_target_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the target of an attempt."""
+"""Selection of the target for an attempt."""
 
 import itertools
 
@@ -9,31 +9,34 @@
 
 
 class TargetChoice:
-    """Chooses one of the least loaded targets.
+    """Selects one of the least loaded targets.
 
     Parameters
     ----------
     parts : GatewayParts
-        Settings, and what is known of the targets, their loads and their limits.
+        Settings, target list, loads, limits and health.
     failure_domain : str
-        Where this entry runs.
+        Failure domain of this host.
 
     Attributes
     ----------
     group_of : callable
-        Returns the name of the group of a target by its instance id, or None.  The
-        ranks of a group run in lock-step, so that the load of one slows all.
-    may_try_untrusted : callable
-        Called with the name of a service of which no target is trusted; returns
-        whether a request that no target has had may still be sent to one.
+        Called with an instance id; returns the name of the target's group, or None.
+        The ranks of a group run in lock-step, so the load of one rank slows all of
+        them.
+    may_try_unhealthy : callable
+        Called with the name of a service that has no healthy target; returns whether
+        a request that has not been sent to any target may be sent to an unhealthy one.
 
     Notes
     -----
-    What peers have begun since their last news can't be seen.  With 39 entries that was
-    25 requests (reckoned), and all entries sent theirs to the few targets that had
-    looked idle: 27 of 100 streams were late or left while, as reckoned, two fifths of
-    the slots were free.  So loads that differ by less than what is unseen count as
-    alike, and the choice among as many targets as requests are unseen is chance.
+    Requests that peers have started since their last update are not visible here.  With
+    39 hosts these are an estimated 25 requests.  If every host picked the least loaded
+    target, all of them would send to the few targets that looked idle at the last
+    update: 27 of 100 streams were late or abandoned by their callers although an
+    estimated two fifths of the slots were free.  Therefore loads that differ by less
+    than the number of invisible requests count as equal, and the target is drawn at
+    random from as many targets as there are invisible requests.
     """
 
     __slots__ = (
@@ -74,7 +77,7 @@
         self._avoided = parts.avoided
         self._cold = parts.cold
         self._connections = ConnectionPreference(
-            parts.settings.connections, parts.pool.idle.has_fresh
+            parts.settings.connections, parts.pool.idle.has_reusable
         )
         self._measures = parts.measures
         self._random = parts.random
@@ -85,7 +88,7 @@
 
     @property
     def return_times(self):
-        """Decides when refused callers come back, a `ReturnTimes` or None."""
+        """`ReturnTimes` that decides when refused callers retry, or None."""
         return self._refusals.return_times
 
     @return_times.setter
@@ -93,14 +96,14 @@
         self._refusals.return_times = return_times
 
     def choose(self, request, tried_ids):
-        """Return the `TargetEntry` for a request, or why there is none.
+        """Return the target for a request, or a refusal if there is none.
 
         Parameters
         ----------
         request : GatewayRequest
             The request.
         tried_ids : set of str
-            Targets that have failed or declined it.
+            Instance ids of targets that have failed or declined the request.
 
         Returns
         -------
@@ -109,33 +112,34 @@
         serving = self._targets.serving(request.service_name)
         fresh = [entry for entry in serving if entry.instance_id not in tried_ids]
         if not fresh:
-            return self._refusals.without_target(request)
+            return self._refusals.for_no_target(request)
         may_try = request.route.attempt_limit > len(tried_ids) + 1
-        open_ones = self._backoffs.admitted(fresh, may_try)
-        if not open_ones:
+        not_backed_off = self._backoffs.admitted(fresh, may_try)
+        if not not_backed_off:
             return self._refusals.for_backoff(request, fresh)
-        admitted = self._within_rates(open_ones, request)
+        admitted = self._within_rates(not_backed_off, request)
         if isinstance(admitted, End):
             return admitted
-        trusted = self._trusted(admitted)
+        healthy = self._healthy_targets(admitted)
         tried_groups = {self.group_of(one) for one in tried_ids} - {None}
-        # What has just failed in one rank of a group fails in all of them.
-        apart = [
+        # A request that failed at one rank of a group fails at all of its ranks.
+        in_other_groups = [
             entry
-            for entry in trusted
+            for entry in healthy
             if self.group_of(entry.instance_id) not in tried_groups
         ]
-        candidates = self._swift(apart or trusted)
-        is_outage = not candidates and not self._trusted(serving)
+        candidates = self._without_slow(in_other_groups or healthy)
+        is_outage = not candidates and not self._healthy_targets(serving)
         if not candidates and self._may_try_any(request, tried_ids, is_outage):
-            # If all of them fail, one of them is still a better try than none: it may
-            # be back, and one that declines does so within milliseconds.  A second
-            # try is worth nothing then, and took 148 of 110 repeats that were allowed.
+            # With no healthy target, an unhealthy one still gets the first attempt: it
+            # may have recovered, and a target that declines does so within
+            # milliseconds.  A second attempt would have no better chance; such attempts
+            # used 148 retries where the budget allowed 110.
             candidates = [entry for entry in admitted if self._may_try(entry)]
         if not candidates:
             message = f"All {len(serving)} targets fail or decline requests."
             cause = BindingCause.OUTAGE if is_outage else BindingCause.NO_TARGET
-            return self._refusals.of_load(cause, request, message)
+            return self._refusals.for_cause(cause, request, message)
         preferred = self._avoided.without(candidates)
         if not preferred:
             return self._choose_by_load(request, candidates, serving)
@@ -145,14 +149,18 @@
         return chosen
 
     def _within_rates(self, entries, request):
-        """Return the targets whose rates leave the request a place, or its refusal.
+        """Return the targets whose rate limits admit the request, or its refusal.
 
         Parameters
         ----------
         entries : list of TargetEntry
-            The targets, at least one.
+            Targets to check, at least one.
         request : GatewayRequest
             The request.
+
+        Returns
+        -------
+        list of TargetEntry or TargetRefusal
         """
         service_name = request.service_name
         limited = self._limits.admitted(entries, service_name, request.priority)
@@ -165,66 +173,72 @@
         return admitted or self._refusals.for_cold(request, limited)
 
     def _choose_by_load(self, request, candidates, serving):
-        """Return one of some targets for a request, or why all are too loaded.
+        """Return one of the candidates by load, or a refusal if all are overloaded.
 
         Parameters
         ----------
         request : GatewayRequest
             The request.
         candidates : list of TargetEntry
-            The targets.
+            Targets that may get the request.
         serving : list of TargetEntry
-            All targets of their service.
+            All targets of the service.
+
+        Returns
+        -------
+        TargetEntry or TargetRefusal
         """
         with self._loads.held():
-            return self._weigh(request, candidates, serving)
+            return self._choose_at_held_loads(request, candidates, serving)
 
-    def _weigh(self, request, candidates, serving):
-        """Do what `_choose_by_load` does, with loads that stay as they are."""
+    def _choose_at_held_loads(self, request, candidates, serving):
+        """Implement `_choose_by_load` while the loads are held constant."""
         control = self._load_control
         admission = control.weigh(request, candidates, self.group_of)
         entries = self._preferred(admission, serving)
-        # Without groups, requests that always return to where a connection is would
-        # leave equal targets without any.
+        # Without groups, always reusing connections would leave equally loaded targets
+        # without any request.
         is_grouped = self.group_of(entries[0].instance_id) is not None
         may_reuse = request.kind.is_repeatable and is_grouped
         if self._loads.are_peers_crowded():
-            chosen = self._choose_in_crowd(entries, may_reuse)
+            chosen = self._choose_across_domains(entries, may_reuse)
         else:
             group_loads = self._group_loads(serving)
-            chosen = self._choose_alike(entries, group_loads, may_reuse)
+            chosen = self._choose_among_equals(entries, group_loads, may_reuse)
         load = self._mean_load(
-            [one for one in admission.usable if self._is_like(one, chosen)]
+            [one for one in admission.usable if self._has_same_delay(one, chosen)]
         )
         cause = control.refusal_cause(admission, chosen, load)
         if cause is None:
             return chosen
         message = control.explain(cause, admission, chosen, load)
-        return self._refusals.of_load(cause, request, message)
+        return self._refusals.for_cause(cause, request, message)
 
     def come_back_after_s(self, request, cause=BindingCause.FULL):
-        """Return the time after which a refused caller should come back, seconds.
+        """Return how long a refused caller should wait before it retries, seconds.
 
         Parameters
         ----------
         request : GatewayRequest
-            The request.
+            The refused request.
         cause : siskinthread.load_control.BindingCause
-            What keeps it from all targets.
+            Why no target can take the request.
         """
-        is_outage = not self._trusted(self._targets.serving(request.service_name))
+        is_outage = not self._healthy_targets(
+            self._targets.serving(request.service_name)
+        )
         if is_outage:
             cause = BindingCause.OUTAGE
-        return self._refusals.come_back_after_s(request, cause, is_outage)
+        return self._refusals.retry_delay_s(request, cause, is_outage)
 
     def _may_try_any(self, request, tried_ids, is_outage):
-        """Return whether a request may go to a target that is not trusted."""
+        """Return whether a request may be sent to an unhealthy target."""
         if is_outage and not self.may_try_untrusted(request.service_name):
             return False
         return not tried_ids
 
-    def _trusted(self, entries):
-        """Return targets within reach of which neither they nor their groups fail."""
+    def _healthy_targets(self, entries):
+        """Return the reachable targets that do not fail and have no failing group."""
         groups = {self.group_of(entry.instance_id) for entry in entries}
         failing = {group for group in groups if self._is_group_failing(group)}
         return [
@@ -240,17 +254,18 @@
         return self._progress.is_stalled(group)
 
     def _may_try(self, entry):
-        """Return whether a target may get a request for want of a better one.
+        """Return whether an unhealthy target may get a request.
 
-        A broken group declines each one, and reports tell when it opens.
+        A broken group declines every request; reports from its ranks show when it
+        accepts requests again.
         """
         return self._outages.may_test(self.group_of(entry.instance_id))
 
-    def _swift(self, entries):
-        """Return the targets that are not slow, unless all of them are.
+    def _without_slow(self, entries):
+        """Return the targets that are not slow, or all targets if all are slow.
 
-        A full service refuses rather than uses slow ones: a request there would make
-        all streams of the group late.
+        When the other targets are full, requests are refused rather than sent to slow
+        ranks: a request at a slow rank makes all streams of its group late.
         """
         slow_ids = self._slow_targets.ids()
         if not slow_ids:
@@ -260,7 +275,7 @@
     def _preferred(self, admission, serving):
         """Return the targets of an admission that are expected to answer first.
 
-        All of them where speeds do not differ measurably.
+        Returns all of them if their speeds do not differ measurably.
         """
         entries, speeds = admission.admitting, self._load_control.speeds
         request = admission.request
@@ -272,14 +287,16 @@
         if not slow:
             return entries
         fast = [one for one in entries if self.group_of(one.instance_id) not in slow]
-        # A full group makes its own streams late before it is slower than another one.
+        # A full fast group already delays its streams while it is still faster than a
+        # slow group.
         free = [one for one in fast if self._load(one) < 1]
         return free or entries
 
     def _group_loads(self, serving):
-        """Return the mean load of the targets of each group.
+        """Return the mean load of each group, as `dict` of group to load.
 
-        Those that exceed the least one by less than what is unseen are taken for it.
+        A mean that exceeds the lowest mean by less than the requests of peers that are
+        not visible yet is set to the lowest mean.
         """
         loads = {}
         slots = {}
@@ -299,7 +316,7 @@
         }
 
     def _group_means(self, serving):
-        """Return the mean load of the targets of each group."""
+        """Return the mean load of each group, as `dict` of group to load."""
         loads = {}
         for entry in serving:
             group = self.group_of(entry.instance_id)
@@ -307,107 +324,116 @@
                 loads.setdefault(group, []).append(self._load(entry))
         return {group: sum(one) / len(one) for group, one in loads.items()}
 
-    def _choose_alike(self, entries, group_loads, may_reuse):
-        """Return one of the best targets that this entry can't tell apart."""
-        ranks = {entry: self._rank(entry, group_loads) for entry in entries}
-        ordered = sorted(entries, key=ranks.get)
-        best = ranks[ordered[0]]
-        alike = [
+    def _choose_among_equals(self, entries, group_loads, may_reuse):
+        """Return one of the targets that are indistinguishable from the best one."""
+        sort_keys = {entry: self._sort_key(entry, group_loads) for entry in entries}
+        ordered = sorted(entries, key=sort_keys.get)
+        best = sort_keys[ordered[0]]
+        indistinguishable = [
             entry
             for entry in ordered[: 1 + round(self._loads.unseen_count())]
-            # Never a full one, or one of a busier group, instead of the best.
-            if ranks[entry][:2] == best[:2]
+            # Excludes full targets and targets of busier groups.
+            if sort_keys[entry][:2] == best[:2]
         ]
-        # Those that differ from the best one by chance alone may be more.
-        equal = itertools.takewhile(lambda one: ranks[one][:4] == best[:4], ordered)
-        like_best = max(alike, list(equal), key=len)
-        busier = self._busier_ranks(ordered, len(like_best), ranks)
-        decision = self._connections.decide(like_best, may_reuse, busier)
+        # Targets that differ from the best one only in the random tie-breaker.
+        equal = itertools.takewhile(lambda one: sort_keys[one][:4] == best[:4], ordered)
+        equal_to_best = max(indistinguishable, list(equal), key=len)
+        busier = self._busier_ranks(ordered, len(equal_to_best), sort_keys)
+        decision = self._connections.decide(equal_to_best, may_reuse, busier)
         self._measures.connection_preferred(decision.basis)
-        return self._random.choice(decision.entries or alike)
+        return self._random.choice(decision.entries or indistinguishable)
 
-    def _busier_ranks(self, ordered, from_place, ranks):
-        """Yield the ranks of the best one's group that have a free slot, least first.
+    def _busier_ranks(self, ordered, start_index, sort_keys):
+        """Yield ranks with a free slot in the group of the best target, by load.
 
         Parameters
         ----------
         ordered : list of TargetEntry
             Targets, the best one first.
-        from_place : int
-            The place in them from which on they count.
-        ranks : dict of TargetEntry to tuple
-            Their order.
+        start_index : int
+            Index in `ordered` of the first target to consider.
+        sort_keys : dict of TargetEntry to tuple
+            Sort keys of the targets.
+
+        Yields
+        ------
+        extra_count : int
+            How many requests more than the best target the rank has.
+        entry : TargetEntry
+            The rank.
         """
         best = ordered[0]
         group = self.group_of(best.instance_id)
-        is_full, *_ = ranks[best]
+        is_full, *_ = sort_keys[best]
         if group is None or is_full:
             return
         least_count = self._loads.total(best.instance_id)
-        for entry in ordered[from_place:]:
-            if ranks[entry][:2] != ranks[best][:2]:
+        for entry in ordered[start_index:]:
+            if sort_keys[entry][:2] != sort_keys[best][:2]:
                 return
-            is_farther = self._is_near(best) and not self._is_near(entry)
-            if self.group_of(entry.instance_id) == group and not is_farther:
+            leaves_domain = self._is_local(best) and not self._is_local(entry)
+            if self.group_of(entry.instance_id) == group and not leaves_domain:
                 yield self._loads.total(entry.instance_id) - least_count, entry
 
-    def _choose_in_crowd(self, entries, may_reuse):
-        """Return a target where only entries of the own domain tell of loads soon.
+    def _choose_across_domains(self, entries, may_reuse):
+        """Return a target when only hosts of the own failure domain report loads often.
 
         Notes
         -----
-        News of other domains are a second old.  The one target there that looks idle
-        looks so to all entries, which then send to it; with two thirds of all requests
-        sent to other domains, a third of them met a target without a free slot.  So
-        they are sent only to where the mean load is clearly less, which changes slowly,
-        and to any target there by chance.
+        Loads reported by other failure domains are a second old.  A target there that
+        looks idle looks idle to all hosts, and all of them send to it: with two thirds
+        of all requests sent to other domains, a third of these met a target without a
+        free slot.  Therefore requests leave the own domain only if the mean load of the
+        other domains, which changes slowly, is clearly lower; the target there is drawn
+        at random.
         """
-        near = [entry for entry in entries if self._is_near(entry)]
-        away = [entry for entry in entries if not self._is_near(entry)]
-        if not away or (near and not self._is_better_away(near, away)):
-            return self._choose_alike(near, {}, may_reuse)
-        free = [entry for entry in away if self._load(entry) < 1]
+        local = [entry for entry in entries if self._is_local(entry)]
+        remote = [entry for entry in entries if not self._is_local(entry)]
+        if not remote or (local and not self._is_remote_less_loaded(local, remote)):
+            return self._choose_among_equals(local, {}, may_reuse)
+        free = [entry for entry in remote if self._load(entry) < 1]
         if not free:
-            return self._choose_alike(away, {}, may_reuse)
-        drawn = self._draw_free(free)
-        # Only to one that is no busier than the one that chance would take.
-        alike = [entry for entry in free if self._load(entry) <= self._load(drawn)]
-        decision = self._connections.decide(alike, may_reuse)
+            return self._choose_among_equals(remote, {}, may_reuse)
+        drawn = self._draw_by_free_share(free)
+        # A kept connection counts only at a target that is no busier than the drawn
+        # one.
+        no_busier = [entry for entry in free if self._load(entry) <= self._load(drawn)]
+        decision = self._connections.decide(no_busier, may_reuse)
         self._measures.connection_preferred(decision.basis)
-        return self._draw_free(decision.entries) if decision.entries else drawn
+        return self._draw_by_free_share(decision.entries) if decision.entries else drawn
 
-    def _draw_free(self, entries):
-        """Return one of some targets by chance, by how much of each is free."""
+    def _draw_by_free_share(self, entries):
+        """Return a random target, weighted by its share of free slots."""
         weights = [1 - self._load(entry) for entry in entries]
         return self._random.choices(entries, weights)[0]
 
-    def _is_better_away(self, near, away):
-        """Return whether the own domain is clearly more loaded than the others."""
-        near_load, away_load = self._mean_load(near), self._mean_load(away)
-        if near_load >= self._settings.full_load:
-            return away_load < near_load
-        return near_load - away_load > self._settings.away_load
+    def _is_remote_less_loaded(self, local, remote):
+        """Return whether other failure domains are clearly less loaded than the own."""
+        local_load, remote_load = self._mean_load(local), self._mean_load(remote)
+        if local_load >= self._settings.full_load:
+            return remote_load < local_load
+        return local_load - remote_load > self._settings.away_load
 
-    def _is_like(self, entry, chosen):
-        """Return whether the load of a target is known as soon as that of another."""
+    def _has_same_delay(self, entry, chosen):
+        """Return whether the loads of two targets are reported with the same delay."""
         if not self._loads.are_peers_crowded():
             return True
-        return self._is_near(entry) == self._is_near(chosen)
+        return self._is_local(entry) == self._is_local(chosen)
 
     def _mean_load(self, entries):
         return sum(self._load(entry) for entry in entries) / len(entries)
 
-    def _is_near(self, entry):
+    def _is_local(self, entry):
         return entry.failure_domain == self._failure_domain
 
-    def _rank(self, entry, group_loads):
+    def _sort_key(self, entry, group_loads):
         load = self._load(entry)
         group_load = group_loads.get(self.group_of(entry.instance_id), 0.0)
-        is_away = not self._is_near(entry)
-        return load >= 1, group_load, load, is_away, self._random.random()
+        is_remote = not self._is_local(entry)
+        return load >= 1, group_load, load, is_remote, self._random.random()
 
     def _load(self, entry):
-        """Return the requests of a target for each of its slots."""
+        """Return the number of requests per slot of a target."""
         return self._loads.total(entry.instance_id) / max(1, entry.slot_count)
 
 
--- a/siskinthread/gateway/_target_connection.py
+++ b/siskinthread/gateway/_target_connection.py
@@ -8,44 +8,45 @@
 import h11
 
 from siskinthread.errors import ConnectionLostError, TargetError, TargetSilentError
-from siskinthread.gateway._idle_connections import rest_limit_s
+from siskinthread.gateway._idle_connections import idle_time_limit_s
 from siskinthread.outcomes import Head
 from siskinthread.sockets import connect, reset
 from siskinthread.timing import Deadline
 
 RECEIVE_SIZE_BYTES = 65_536
 MILLISECONDS_PER_SECOND = 1000
-# The target's acknowledgement of a probe is late after this many seconds.
+# TCP keep-alive probes; a connection fails after this many unanswered ones.
 PROBE_INTERVAL_S = 1
 PROBE_COUNT = 2
-# Bodies up to this size fit the kernel's send buffer, so that writing them can't wait
-# for a target that answers before it reads.
+# Bodies up to this size fit the kernel's send buffer, so writing them can't block on a
+# target that answers before it has read the body.
 INLINE_BODY_BYTES = 16_384
-MOST_INFORMATIONAL = 8
-UNREACHED_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
+INFORMATIONAL_LIMIT = 8
+UNREACHABLE_ERRNOS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
 
 
 class TargetConnection:
-    """A connection to a target; one exchange at a time.
+    """A connection to a target, which carries one exchange at a time.
 
     Parameters
     ----------
     settings : GatewaySettings
         Limits.
     clock : siskinthread.timing.Clock
-        Clock of the rests.
+        Clock of idle times and send rates.
 
     Attributes
     ----------
     written : bool
-        Whether a byte of the present request was given to the kernel.  As long as it
-        is False, the target can't have run the request.
+        Whether any byte of the current request was passed to the kernel.  While it is
+        False, the target can't have run the request.
     was_used : bool
-        Whether an exchange was finished on it before the present one.
+        Whether an earlier exchange was completed on the connection.
     is_unacknowledged : bool
-        Whether it failed since the target acknowledged nothing.
-    rested_s : float or None
-        How long it had rested when it was last taken; None for a new one.
+        Whether the connection failed because the target's host acknowledged no data.
+    idle_before_s : float or None
+        How long the connection was idle before the current exchange, seconds; None for
+        a new connection.
     """
 
     __slots__ = (
@@ -54,15 +55,15 @@
         "_http",
         "_note_written",
         "_request",
-        "_rest_deadline",
-        "_rests_since_s",
+        "_idle_deadline",
+        "_idle_since_s",
         "_sender",
         "_sending_since_s",
         "_sent_bytes",
         "_settings",
         "_socket",
         "is_unacknowledged",
-        "rested_s",
+        "idle_before_s",
         "was_used",
         "written",
     )
@@ -74,19 +75,28 @@
         self._http = None
         self._request = None
         self._body = b""
-        self._rest_deadline = None
-        self._rests_since_s = None
+        self._idle_deadline = None
+        self._idle_since_s = None
         self._sender = None
         self._note_written = None
         self._sending_since_s = None
         self._sent_bytes = 0
         self.is_unacknowledged = False
-        self.rested_s = None
+        self.idle_before_s = None
         self.was_used = False
         self.written = False
 
     async def open(self, host, port, deadline):
-        """Connect.
+        """Connect to a target.
+
+        Parameters
+        ----------
+        host : str
+            Address of the target.
+        port : int
+            Its port.
+        deadline : siskinthread.timing.Deadline
+            When to give up.
 
         Raises
         ------
@@ -109,12 +119,12 @@
     async def send_request(
         self, method, path, headers, body, deadline, note_written=None
     ):
-        """Write a whole request.
+        """Send a complete request; a large body is sent by a background task.
 
         Parameters
         ----------
         method, path : str
-            Of the request line.
+            Method and path of the request line.
         headers : list of tuple of bytes, bytes
             The headers.
         body : bytes
@@ -122,14 +132,15 @@
         deadline : siskinthread.timing.Deadline
             When to give up.
         note_written : callable or None
-            Called once the first byte was given to the kernel.
+            Called once the first byte is passed to the kernel.
 
         Raises
         ------
         ConnectionLostError
-            If the connection failed; `written` tells whether the target may have it.
+            If the connection failed; `written` is True if the target may have got the
+            request.
         TargetError
-            If the target took no bytes until the deadline.
+            If the target did not read the request until the deadline.
         """
         self._http = self._new_http()
         self.written = False
@@ -140,9 +151,9 @@
         is_inline = len(body) <= INLINE_BODY_BYTES
         if self.was_used and is_inline:
             connections = self._settings.connections
-            self._limit_silence(connections.unacknowledged_limit_s)
+            self._set_user_timeout(connections.unacknowledged_limit_s)
         if not is_inline:
-            # The target may answer, and stop reading, before it has the whole body.
+            # The target may answer and stop reading before it has the complete body.
             self.written = True
             self._sending_since_s = self._clock.monotonic_s()
             self._sent_bytes = 0
@@ -151,30 +162,32 @@
         try:
             await curio.timeout_after(deadline.left_s(), self._send_all, data)
         except curio.TaskTimeout as error:
-            raise TargetError("the target takes no bytes") from error
+            raise TargetError("the target did not read the request in time") from error
         except OSError as error:
             raise ConnectionLostError(f"writing failed: {error!r}") from error
 
     async def receive_head(self, deadline, is_awaited):
-        """Return the `Head` of the answer that belongs to the request.
+        """Return the `Head` of the answer to the current request.
 
         Parameters
         ----------
         deadline : siskinthread.timing.Deadline
             When to give up.
         is_awaited : callable
-            Tells whether an `Head` belongs to the request.
+            Returns whether a `Head` belongs to the current request.
 
         Raises
         ------
+        TargetSilentError
+            If no answer arrived until the deadline.
         TargetError
-            If the target sent no readable answer.
+            If the answer is unreadable or the connection failed.
 
         Notes
         -----
-        A faulty target may send a second answer to an earlier request, which arrives
-        where this one's is due.  Such an answer is read to its end and dropped; taken
-        for this request's, a caller would get somebody else's answer.
+        A faulty target may answer an earlier request twice, so that the second answer
+        arrives when the current one is expected.  Such an answer is read and dropped;
+        otherwise a caller would get the answer to another caller's request.
         """
         while True:
             head = await self._receive_any_head(deadline)
@@ -190,60 +203,60 @@
         Raises
         ------
         TargetSilentError
-            If nothing came until the deadline; the connection can be read on.
+            If no data arrived until the deadline; reading can continue.
         TargetError
-            If the body broke off.
+            If the body is incomplete.
         """
         event = await self._next_event(deadline)
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise TargetError("the answer broke off")
+        raise TargetError("the body of the answer is incomplete")
 
     def send_rate(self, now_s, least_s):
-        """Return how fast the target takes the body, bytes a second.
+        """Return the rate at which a large body is sent, bytes per second.
 
         Parameters
         ----------
         now_s : float
-            The time, monotonic seconds.
+            Current time, monotonic seconds.
         least_s : float
-            For how long it must have been sent, seconds.
+            Shortest duration of sending for which a rate is returned, seconds.
 
         Returns
         -------
         float or None
-            None if it is not sent, or not for so long.
+            None if no large body is being sent, or for less than `least_s`.
         """
         if self._sender is None or self._sender.terminated:
             return None
-        lasts_s = now_s - self._sending_since_s
-        return self._sent_bytes / lasts_s if lasts_s >= least_s else None
+        duration_s = now_s - self._sending_since_s
+        return self._sent_bytes / duration_s if duration_s >= least_s else None
 
     async def end_exchange(self):
-        """Make whoever waits for the answer find that the connection has ended.
+        """Shut the socket down, so that the task that waits for the answer fails.
 
         Raises
         ------
         OSError
-            If it has ended by itself.
+            If the connection has already ended.
         """
         await self._socket.shutdown(socket.SHUT_RDWR)
 
-    async def rest(self, stated_s):
-        """Get ready for another exchange.
+    async def make_idle(self, stated_s):
+        """Make the connection idle after a complete exchange.
 
         Parameters
         ----------
         stated_s : float or None
-            How long the target says that it keeps an idle connection, seconds.
+            Keep-alive time-out that the target states, seconds.
 
         Returns
         -------
         bool
-            Whether the connection can be used again.  It can't if bytes came behind
-            the answer: they belong to no request.
+            Whether the connection can be reused.  False if bytes follow the answer, as
+            they belong to no request.
         """
         http = self._http
         if self._sender is not None:
@@ -252,35 +265,36 @@
             self._sender = None
         if (http.our_state, http.their_state) != (h11.DONE, h11.DONE):
             return False
-        if http.trailing_data[0] or self._readable():
+        if http.trailing_data[0] or self._is_readable():
             return False
-        self._limit_silence(self._settings.silence_limit_s)
-        limit_s = rest_limit_s(self._settings, stated_s)
-        self._rest_deadline = Deadline.after(self._clock, limit_s)
-        self._rests_since_s = self._clock.monotonic_s()
+        self._set_user_timeout(self._settings.silence_limit_s)
+        limit_s = idle_time_limit_s(self._settings, stated_s)
+        self._idle_deadline = Deadline.after(self._clock, limit_s)
+        self._idle_since_s = self._clock.monotonic_s()
         self.was_used = True
         return True
 
-    def is_fresh(self):
-        """Return whether a resting connection may carry another request."""
-        return not self._rest_deadline.passed() and not self._readable()
+    def is_reusable(self):
+        """Return whether an idle connection may carry another request."""
+        return not self._idle_deadline.passed() and not self._is_readable()
 
-    def end_rest(self):
-        """Note that the next exchange begins."""
-        self.rested_s = self._clock.monotonic_s() - self._rests_since_s
+    def end_idle(self):
+        """Record the idle time at the start of the next exchange."""
+        self.idle_before_s = self._clock.monotonic_s() - self._idle_since_s
 
     async def close(self):
-        """Close the connection after an exchange, or without one."""
+        """Close the connection while no exchange is in progress."""
         async with curio.disable_cancellation():
             await self._stop_sending()
             if self._socket is not None:
                 await self._socket.close()
 
-    async def give_up(self):
-        """End the connection within an exchange.
+    async def abort(self):
+        """Reset the connection during an exchange.
 
-        What of the request has not arrived must not arrive later, when its path is
-        back: by then it may be answered elsewhere, and its target may leave.
+        Unsent data is discarded: it must not arrive after a network failure has ended,
+        when the request may have been answered by another target and the target may be
+        leaving.
         """
         async with curio.disable_cancellation():
             await self._stop_sending()
@@ -315,7 +329,7 @@
             data = memoryview(data)[sent_bytes:]
 
     async def _receive_any_head(self, deadline):
-        for _ in range(MOST_INFORMATIONAL):
+        for _ in range(INFORMATIONAL_LIMIT):
             event = await self._next_event(deadline)
             if isinstance(event, h11.Response):
                 return Head(
@@ -330,12 +344,12 @@
         raise TargetError("the connection ended before the answer")
 
     def _expect_answer_again(self):
-        """Read on where an answer to another request has ended."""
+        """Prepare to read the next answer after that to another request."""
         if self._http.their_state is not h11.DONE:
-            raise TargetError("the connection ends with another request's answer")
+            raise TargetError("the connection ended with the answer to another request")
         rest = self._http.trailing_data[0]
         self._http = self._new_http()
-        # The request went out before; h11 only has to know of it once more.
+        # The request is already sent; encoding it again only sets the state of h11.
         self._encode_request(self._body)
         if rest:
             self._http.receive_data(rest)
@@ -356,23 +370,23 @@
                 deadline.left_s(), self._socket.recv, RECEIVE_SIZE_BYTES
             )
         except curio.TaskTimeout as error:
-            raise TargetSilentError("silent past the limit") from error
+            raise TargetSilentError("no data arrived until the deadline") from error
         except OSError as error:
-            self.is_unacknowledged = error.errno in UNREACHED_ERRORS
+            self.is_unacknowledged = error.errno in UNREACHABLE_ERRNOS
             raise TargetError(f"connection failed: {error!r}") from error
         if not data and self._http.their_state is h11.SEND_RESPONSE:
             raise TargetError("the connection ended before the answer")
         return data
 
-    def _readable(self):
-        # A target that closed a resting connection leaves it readable.  Writing to it
-        # would lose the request, with an unknown outcome.
+    def _is_readable(self):
+        # An idle connection that the target has closed is readable.  A request written
+        # to it would be lost with an unknown outcome.
         poller = select.poll()
         poller.register(self._socket.fileno(), select.POLLIN)
         return bool(poller.poll(0))
 
-    def _limit_silence(self, limit_s):
-        """Set how long sent bytes may stay unacknowledged, seconds."""
+    def _set_user_timeout(self, limit_s):
+        """Set how long sent data may stay unacknowledged, seconds."""
         limit_ms = round(limit_s * MILLISECONDS_PER_SECOND)
         option = socket.TCP_USER_TIMEOUT
         self._socket.setsockopt(socket.IPPROTO_TCP, option, limit_ms)
@@ -381,9 +395,9 @@
         silence_ms = round(self._settings.silence_limit_s * MILLISECONDS_PER_SECOND)
         options = (
             (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-            # A target that lost its power, or a path that forgot the connection,
-            # answers nothing at all.  Without these two limits a request would wait
-            # for its whole deadline.
+            # A target without power, or a network path that has dropped the connection,
+            # does not answer at all.  Without the user time-out and keep-alive probes a
+            # request would wait until its deadline.
             (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silence_ms),
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
             (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_INTERVAL_S),
--- a/siskinthread/gateway/_target_end.py
+++ b/siskinthread/gateway/_target_end.py
@@ -1,38 +1,39 @@
-"""Finding out whether a target has ended, or only broke an exchange off."""
+"""Check whether a target process has ended or only broke off an exchange."""
 
 import curio
 from curio import socket
 
-# A process that exits may end its connections before its listener.  The first look is
-# then accepted and reset; the second one meets no listener.
-LOOK_COUNT = 2
+# An exiting process may close its connections before its listener.  The first check is
+# then accepted and reset; the second check finds no listener.
+CHECK_COUNT = 2
 
 
 async def has_ended(entry, settings):
-    """Return whether nothing listens at a target's address any more.
+    """Return whether no process listens at a target's address any more.
 
     Parameters
     ----------
     entry : TargetEntry
-        The target, which has just broken an exchange off.
+        The target, which has just broken off an exchange.
     settings : GatewaySettings
         Limits.
 
     Returns
     -------
     bool
-        Only a refused connection shows it: the target's host is there, its process is
-        not.  A host without power or behind a cut does not answer at all.
+        True only if the connection is refused: the host is up, but the process has
+        ended.  A host that has lost power or is cut off by the network does not answer
+        at all, which gives False.
     """
     wait_s = settings.end_check_limit_s
     try:
-        return await curio.timeout_after(wait_s, _find_out, entry, settings)
+        return await curio.timeout_after(wait_s, _check_repeatedly, entry, settings)
     except curio.TaskTimeout:
         return False
 
 
-async def _find_out(entry, settings):
-    for _ in range(LOOK_COUNT):
+async def _check_repeatedly(entry, settings):
+    for _ in range(CHECK_COUNT):
         try:
             if await _stays_open(entry, settings.end_settle_s):
                 return False
@@ -46,10 +47,23 @@
 
 
 async def _stays_open(entry, wait_s):
-    """Connect; return whether the target does not close the connection at once."""
-    checking = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    """Connect, and return whether the target keeps the connection open for a time.
+
+    Parameters
+    ----------
+    entry : TargetEntry
+        The target.
+    wait_s : float
+        How long the connection must stay open, seconds.
+
+    Raises
+    ------
+    OSError
+        If the connection is refused or reset.
+    """
+    probe = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        await checking.connect((entry.host, entry.port))
-        return await curio.ignore_after(wait_s, checking.recv, 1) is None
+        await probe.connect((entry.host, entry.port))
+        return await curio.ignore_after(wait_s, probe.recv, 1) is None
     finally:
-        await checking.close()
+        await probe.close()
--- a/siskinthread/gateway/_target_pool.py
+++ b/siskinthread/gateway/_target_pool.py
@@ -1,25 +1,25 @@
-"""Connections to targets that are kept for further requests."""
+"""Pool of connections to targets that are kept for reuse."""
 
 from siskinthread.gateway._idle_connections import IdleConnections
 from siskinthread.gateway._target_connection import TargetConnection
 
 
 class TargetPool:
-    """Opens connections to targets and keeps some of them.
+    """Opens connections to targets, and keeps idle ones for reuse.
 
     Parameters
     ----------
     settings : GatewaySettings
         Limits.
     clock : siskinthread.timing.Clock
-        Clock of the rests.
+        Clock of idle times and send rates.
     measures : Measures
-        Counts connections that are opened and used again.
+        Counts connections that are opened and reused.
 
     Attributes
     ----------
     idle : IdleConnections
-        The connections that are kept.
+        The idle connections.
     """
 
     __slots__ = ("_clock", "_measures", "_settings", "idle")
@@ -38,9 +38,9 @@
         entry : TargetEntry
             The target.
         may_reuse : bool
-            Whether a kept connection will do.  A target may close one at the very
-            moment at which a request is written to it; nobody knows then whether it
-            ran, so a request that must not run twice gets a new connection.
+            Whether a kept connection may be used.  A target may close it while a
+            request is written, and then it is unknown whether the request ran; so a
+            request that must not run twice needs a new connection.
         deadline : siskinthread.timing.Deadline
             When to give up.
 
@@ -52,7 +52,7 @@
         if may_reuse:
             connection = self.idle.take(entry.instance_id)
             if connection is not None:
-                connection.end_rest()
+                connection.end_idle()
                 self._measures.connection_taken("kept")
                 return connection
         connection = TargetConnection(self._settings, self._clock)
@@ -60,8 +60,8 @@
         self._measures.connection_taken("new")
         return connection
 
-    async def give_back(self, entry, connection, rest_limit_s):
-        """Keep a connection after a whole answer, or close it.
+    async def give_back(self, entry, connection, keep_alive_s):
+        """Keep a connection after a complete answer, or close it.
 
         Parameters
         ----------
@@ -69,18 +69,24 @@
             The target.
         connection : TargetConnection
             The connection.
-        rest_limit_s : float or None
-            How long the target keeps it, seconds.
+        keep_alive_s : float or None
+            Keep-alive time-out that the target states, seconds.
         """
         has_room = self.idle.has_room(entry.instance_id) and not entry.is_leaving
-        if has_room and await connection.rest(rest_limit_s):
+        if has_room and await connection.make_idle(keep_alive_s):
             await self._close(self.idle.add(entry.instance_id, connection))
         else:
             await connection.close()
 
     async def sweep(self, known_ids):
-        """Close what has rested too long, and all to targets that are not known."""
-        await self._close(self.idle.drop_stale(known_ids))
+        """Close connections that can't be reused or lead to unknown targets.
+
+        Parameters
+        ----------
+        known_ids : set of str
+            Instance ids of the targets that may get requests.
+        """
+        await self._close(self.idle.drop_unusable(known_ids))
 
     async def _close(self, connections):
         for connection in connections:
--- a/siskinthread/gateway/_target_refusal.py
+++ b/siskinthread/gateway/_target_refusal.py
@@ -1,23 +1,23 @@
-"""The end of a request for which there is no target."""
+"""Refusal of a request that no target can take."""
 
 from siskinthread.outcomes import End, Outcome
 
 
 class TargetRefusal(End):
-    """Why no target can take a request now; it has not run because of this choice.
+    """The `End` of a request that no target can take now, so that it has not run.
 
     Parameters
     ----------
     cause : siskinthread.load_control.BindingCause
-        What keeps the request from every target.
+        Why no target can take the request.
     reason : siskinthread.outcomes.Reason
-        What the caller is told.
+        Reason that is sent to the caller.
     message : str
-        One sentence for people.
+        Explanation in one sentence.
     decide_return : callable
-        Returns when the caller should come back, seconds from now.  Called once, when
-        the caller is told: a request that waits first must not take a place among
-        those that come back.
+        Returns how long the caller should wait before it retries, seconds.  Called
+        once, when the refusal is written: a request that waits first must not book a
+        return.
     """
 
     __slots__ = ("_decide_return", "_retry_after_s", "cause")
@@ -30,7 +30,7 @@
 
     @property
     def retry_after_s(self):
-        """When the caller should come back, seconds from the first look at it."""
+        """How long the caller should wait, seconds; decided on the first read."""
         if self._retry_after_s is None:
             self._retry_after_s = self._decide_return()
         return self._retry_after_s
--- a/siskinthread/gateway/_waiting_room.py
+++ b/siskinthread/gateway/_waiting_room.py
@@ -1,17 +1,17 @@
-"""Requests that wait at this host until a target can take them.
+"""Queue of requests that wait at this host until a target can take them.
 
-A request that waits holds no slot of a target and costs no attempt.  It is sent once,
-or refused as not run: when its wait ends, its service loses its targets, or this host
-drains.  A caller that leaves ends the task that serves it, and the wait with it.
+A waiting request occupies no slot of a target and uses no attempt.  It is sent once, or
+refused as not run if its wait times out, its service loses all targets, or this host
+drains.  When the caller disconnects, its task is cancelled and the wait ends.
 """
 
 import curio
 
+from siskinthread.gateway._pending_request import PendingRequest, WaitingMeasures
 from siskinthread.gateway._release_pace import ReleasePace
 from siskinthread.gateway._service_outages import ServiceOutages
 from siskinthread.gateway._table import RequestKind
 from siskinthread.gateway._target_refusal import TargetRefusal
-from siskinthread.gateway._waiting_seat import Seat, WaitingMeasures
 from siskinthread.load_control import (
     BindingCause,
     NoWait,
@@ -29,30 +29,31 @@
 _logger = part_logger("gateway")
 
 SHORTAGE_CAUSES = (BindingCause.FULL, BindingCause.BOOKED, BindingCause.QUEUED)
-SHUT_CAUSES = (BindingCause.OUTAGE, BindingCause.FULL, BindingCause.BOOKED)
+SERVICE_WIDE_CAUSES = (BindingCause.OUTAGE, BindingCause.FULL, BindingCause.BOOKED)
 STREAM_KINDS = (RequestKind.STREAM_ONCE, RequestKind.STREAM_RESUMABLE)
 
 
 class WaitingRoom:
-    """Lets requests wait while no target of their service can take them.
+    """Queues requests while no target of their service can take them.
 
     Parameters
     ----------
     parts : GatewayParts
-        The choice of targets, the list of targets, loads and clock.
+        Target selection, target list, loads and clock.
     metrics : siskinthread.observability.Metrics
         The registry.
 
     Attributes
     ----------
     outages : object or None
-        Tells outages of services with groups: ``service_outage(service_name)`` returns
-        an object with ``began_at_s`` or None, ``listen(callback)`` calls with the name
-        of each group that opens.  None leaves all to what failed requests show.
+        Reports outages of services with groups: ``service_outage(service_name)``
+        returns an object with ``began_at_s`` or None, ``listen(callback)`` registers a
+        callback that is called with the name of each group that accepts requests
+        again.  With None, outages are detected by failed requests only.
     request_times : siskinthread.load_control.RequestTimes
-        How long requests take.
+        Durations of requests.
     returns : ReturnTimes or None
-        Tells whether newcomers leave room for callers that come back.
+        Decides whether a new request leaves enough slots for callers that retry.
     """
 
     __slots__ = (
@@ -62,13 +63,13 @@
         "_is_open",
         "_measures",
         "_next_try",
-        "_occupied",
+        "_not_empty",
         "_outages",
         "_pace",
         "_priorities",
         "_queue",
         "_rules",
-        "_seats",
+        "_pending",
         "_settings",
         "_targets",
         "request_times",
@@ -84,22 +85,22 @@
         self._pace = ReleasePace(parts.settings, parts.loads, parts.clock)
         self._priorities = PriorityMix(self._settings, parts.clock)
         self._rules = WaitRules(self._settings, parts.clock)
-        gives_way = parts.settings.load_control.late_gives_way
-        self._queue = WaitQueue(self._settings, gives_way)
-        self._seats = {}
-        # Seats that were given to more urgent requests, until their tasks are told.
+        late_gives_way = parts.settings.load_control.late_gives_way
+        self._queue = WaitQueue(self._settings, late_gives_way)
+        self._pending = {}
+        # Requests displaced by more urgent ones, whose tasks are not woken yet.
         self._displaced = []
         self._is_open = True
-        # When a target is next looked for, by service that is short of slots.
+        # Deadline of the next try, by service without free slots.
         self._next_try = {}
-        self._occupied = curio.Event()
+        self._not_empty = curio.Event()
         self._measures = WaitingMeasures(metrics)
         self.request_times = RequestTimes(self._settings)
         self.returns = None
 
     @property
     def outages(self):
-        """What tells outages of services with groups, or None."""
+        """Source of outages of services with groups, or None."""
         return self._outages.reported
 
     @outages.setter
@@ -107,17 +108,17 @@
         self._outages.reported = outages
         outages.listen(self._note_group_opened)
 
-    def choose(self, request, tried_ids, came_at_s):
-        """Return a target for a request that comes now, or why there is none.
+    def choose(self, request, tried_ids, arrived_at_s):
+        """Return a target for a new request, or a refusal if there is none.
 
         Parameters
         ----------
         request : GatewayRequest
             The request.
         tried_ids : set of str
-            Targets that have failed or declined it.
-        came_at_s : float
-            When it came, monotonic seconds.
+            Instance ids of targets that have failed or declined the request.
+        arrived_at_s : float
+            Arrival of the request, monotonic seconds.
 
         Returns
         -------
@@ -126,18 +127,18 @@
         service_name = request.service_name
         self._priorities.note(service_name, request.priority)
         if self._queue.ordered(service_name):
-            facts = self._facts(request, came_at_s)
+            facts = self._facts(request, arrived_at_s)
             ahead_count = self._queue.ahead_count(service_name, request.priority, facts)
             if ahead_count:
                 return self._refusal_behind(request, ahead_count)
         return self._choose_now(request, tried_ids)
 
-    async def wait(self, request, tried_ids, came_at_s, refusal):
-        """Let a request that was not run wait, if that can help it.
+    async def wait(self, request, tried_ids, arrived_at_s, refusal):
+        """Queue a request that has not run, if waiting can help, and await the result.
 
         Parameters
         ----------
-        request, tried_ids, came_at_s
+        request, tried_ids, arrived_at_s
             As for `choose`.
         refusal : siskinthread.outcomes.End
             Why there is no target now.
@@ -145,10 +146,10 @@
         Returns
         -------
         TargetEntry or siskinthread.outcomes.End
-            A target that can take it now, or its refusal.
+            A target that can take the request now, or the refusal.
         """
-        seat = self.join(request, tried_ids, came_at_s, refusal)
-        if seat is None:
+        pending = self.join(request, tried_ids, arrived_at_s, refusal)
+        if pending is None:
             return refusal
         began_at_s = self._clock.monotonic_s()
         self._measures.depth.observe(len(self._queue))
@@ -156,12 +157,14 @@
         try:
             while self._displaced:
                 await self._displaced.pop().settled.set()
-            await self._occupied.set()
-            await curio.ignore_after(seat.waiter.until.left_s(), seat.settled.wait)
-            self.give_up(seat)
-            end = "refused" if isinstance(seat.outcome, End) else "sent"
+            await self._not_empty.set()
+            await curio.ignore_after(
+                pending.waiter.until.left_s(), pending.settled.wait
+            )
+            self.give_up(pending)
+            end = "refused" if isinstance(pending.outcome, End) else "sent"
         finally:
-            self._remove(seat)
+            self._remove(pending)
             waited_s = self._clock.monotonic_s() - began_at_s
             self._measures.seconds.labels(end).observe(waited_s)
             _logger.event(
@@ -174,19 +177,24 @@
                 still_waiting=len(self._queue),
                 result=end,
             )
-        return seat.outcome
+        return pending.outcome
 
-    def join(self, request, tried_ids, came_at_s, refusal):
-        """Return the `Seat` of a request that begins to wait, or None if it does not.
+    def join(self, request, tried_ids, arrived_at_s, refusal):
+        """Add a request to the queue if it may wait.
 
         Parameters
         ----------
-        request, tried_ids, came_at_s, refusal
+        request, tried_ids, arrived_at_s, refusal
             As for `wait`.
+
+        Returns
+        -------
+        PendingRequest or None
+            None if the request does not wait.
         """
         if not self._is_open or not isinstance(refusal, TargetRefusal):
             return None
-        facts = self._facts(request, came_at_s)
+        facts = self._facts(request, arrived_at_s)
         if not self._may_wait_for(refusal.cause, request, facts):
             return None
         until = self._rules.decide(facts)
@@ -199,29 +207,29 @@
         request.is_paced = True
         if facts.objective_s is None and request.route.objective_s is not None:
             request.is_late = facts.is_late = True
-        seat = Seat(waiter, request, tried_ids, refusal)
+        pending = PendingRequest(waiter, request, tried_ids, refusal)
         self._queue.join(waiter)
-        self._seats[waiter] = seat
-        return seat
+        self._pending[waiter] = pending
+        return pending
 
-    def give_up(self, seat):
-        """Refuse a request whose wait is over, unless it was settled before."""
-        if seat.outcome is None:
-            self._settle(seat, seat.refusal)
+    def give_up(self, pending):
+        """Refuse a request whose wait has timed out, unless it is already settled."""
+        if pending.outcome is None:
+            self._settle(pending, pending.refusal)
 
     def releases(self, service_name):
-        """Settle requests that wait, one after the other.
+        """Settle waiting requests of a service in order of precedence.
 
         Parameters
         ----------
         service_name : str
-            The service that they wait for.
+            The service.
 
         Yields
         ------
-        Seat
-            One whose outcome is known now.  It must have begun at its target, so that
-            it is counted there, before the next one is asked for.
+        PendingRequest
+            A request whose outcome is set.  The caller must start its attempt, which
+            counts it in the load of the target, before it resumes the generator.
         """
         if not self._targets.serving(service_name):
             yield from self._refuse_all(service_name, "Its service has no target left.")
@@ -230,77 +238,85 @@
             return
         failed_count = 0
         for waiter in self._queue.ordered(service_name):
-            seat = self._seats.get(waiter)
-            # Its caller may have left while others were released.
-            if seat is None:
+            pending = self._pending.get(waiter)
+            # The caller may have disconnected while others were released.
+            if pending is None:
                 continue
-            # Urgent requests that wait for a slot and promised returns are few.
+            # Urgent requests and returns with a booked slot are few, so they need no
+            # pacing.
             facts = waiter.facts
             is_paced = facts.objective_s is None and not facts.has_promise
             if is_paced and not self._pace.allows(self._targets.serving(service_name)):
                 return
-            chosen = self._choose_now(seat.request, seat.tried_ids)
+            chosen = self._choose_now(pending.request, pending.tried_ids)
             if not isinstance(chosen, End):
                 self._pace.note()
-                yield self._settle(seat, chosen)
+                yield self._settle(pending, chosen)
                 if self._outages.outage(service_name) is not None:
                     return
                 continue
             failed_count += 1
-            seat.refusal = chosen if _cause(chosen) else seat.refusal
-            # What shuts out the first one shuts out those behind it.
-            is_shut = _cause(chosen) in SHUT_CAUSES
-            if is_shut or failed_count >= self._settings.tries_limit:
+            pending.refusal = chosen if _cause(chosen) else pending.refusal
+            # These causes apply to the whole service, so to all requests behind this
+            # one.
+            is_service_wide = _cause(chosen) in SERVICE_WIDE_CAUSES
+            if is_service_wide or failed_count >= self._settings.tries_limit:
                 self._postpone(service_name)
                 return
 
     async def run(self):
-        """Send requests that wait as soon as targets can take them."""
+        """Release waiting requests as soon as targets can take them."""
         try:
             while True:
-                await self._occupied.wait()
+                await self._not_empty.wait()
                 while len(self._queue):
                     await self._run_round()
                     await curio.sleep(self._settings.round_s)
-                self._occupied.clear()
+                self._not_empty.clear()
         except curio.CancelledError:
             async with curio.disable_cancellation():
                 await self.close("This host ends.")
             raise
 
     async def close(self, message):
-        """Refuse all requests that wait, and let none wait from now on."""
+        """Refuse all waiting requests, and accept no further ones.
+
+        Parameters
+        ----------
+        message : str
+            Explanation for the callers.
+        """
         self._is_open = False
         for service_name in self._queue.services():
-            for seat in self._refuse_all(service_name, message):
-                await seat.settled.set()
+            for pending in self._refuse_all(service_name, message):
+                await pending.settled.set()
 
     async def _run_round(self):
         for service_name in self._queue.services():
-            for seat in self.releases(service_name):
-                await seat.settled.set()
-                # Lets its task begin the attempt, which counts it.
+            for pending in self.releases(service_name):
+                await pending.settled.set()
+                # Let its task start the attempt, which counts it in the target's load.
                 await curio.sleep(0)
 
     def waiting_count(self, service_name):
-        """Return how many requests of a service wait at this host."""
+        """Return the number of waiting requests of a service."""
         return len(self._queue.ordered(service_name))
 
     def note_served(self, service_name):
-        """Note an answer or an event from a target of a service."""
+        """Record an answer or an event from a target of a service."""
         self._outages.note_served(service_name)
 
     def note_attempt_over(self, request):
-        """Note that an attempt at a target has ended, or was cancelled."""
+        """Record that an attempt at a target has ended or was cancelled."""
         self._next_try.pop(request.service_name, None)
         self._outages.end_test(request)
 
     def expected_left_s(self, service_name):
-        """Return how much longer an outage is expected to last, seconds; 0 if none."""
+        """Return the expected rest of an outage, seconds; 0 without an outage."""
         return self._outages.expected_left_s(service_name)
 
     def _choose_now(self, request, tried_ids):
-        """Return a target for a request that nothing goes before, or why none."""
+        """Return a target for a request that is first in line, or its refusal."""
         service_name = request.service_name
         outage = None
         if self._settings.is_enabled:
@@ -313,13 +329,13 @@
         chosen = self._choice.choose(request, tried_ids)
         if isinstance(chosen, End) or not self._settings.is_enabled:
             return chosen
-        # The choice may have found that all targets fail.
+        # Target selection may have found that all targets fail.
         if self._outages.outage(service_name) is not None:
             self._outages.begin_test(request)
         return chosen
 
     def _may_release(self, service_name):
-        """Return whether it is worth while to look for a target now."""
+        """Return whether a target for waiting requests should be searched now."""
         if self._outages.outage(service_name) is not None:
             return self._outages.may_test(service_name)
         next_try = self._next_try.get(service_name)
@@ -331,26 +347,29 @@
 
     def _refuse_all(self, service_name, message):
         for waiter in self._queue.ordered(service_name):
-            seat = self._seats.get(waiter)
-            if seat is not None:
+            pending = self._pending.get(waiter)
+            if pending is not None:
                 cause = BindingCause.NO_TARGET
-                yield self._settle(seat, self._refusal(cause, seat.request, message))
+                yield self._settle(
+                    pending, self._refusal(cause, pending.request, message)
+                )
 
-    def _settle(self, seat, outcome):
-        seat.outcome = outcome
-        self._remove(seat)
-        return seat
+    def _settle(self, pending, outcome):
+        pending.outcome = outcome
+        self._remove(pending)
+        return pending
 
-    def _remove(self, seat):
-        if self._seats.pop(seat.waiter, None) is not None:
-            self._queue.leave(seat.waiter)
+    def _remove(self, pending):
+        if self._pending.pop(pending.waiter, None) is not None:
+            self._queue.leave(pending.waiter)
 
     def _may_wait_for(self, cause, request, facts):
-        """Return whether a request may wait for the end of what binds.
+        """Return whether a request may wait until a cause of refusal is over.
 
-        A newcomer that meets scarce slots has a further try, and by waiting it would be
-        late for what its caller wants.  So only one that goes before others waits then,
-        and within its objective.
+        A new request that finds no free slot can be retried by its caller, while
+        waiting would make it miss its latency objective.  Therefore it waits for a slot
+        only if the service also gets less urgent requests, and only within its
+        objective.
         """
         if facts.is_return:
             return cause.may_pass
@@ -364,14 +383,14 @@
         return self._priorities.has_less_urgent(request.service_name, request.priority)
 
     def _is_after_outage(self, cause, service_name):
-        """Return whether a request meets others that came in an outage."""
+        """Return whether requests that arrived in an outage are still queued ahead."""
         if cause is not BindingCause.QUEUED:
             return False
         facts = [one.facts for one in self._queue.ordered(service_name)]
         return any(not one.is_return and one.objective_s is None for one in facts)
 
     def _has_place(self, request, facts):
-        """Return whether a request may wait, if need be in the place of a later one."""
+        """Return whether the queue has room, after displacing a later one if needed."""
         if self._queue.has_place():
             return True
         waiters = self._queue.ordered(request.service_name)
@@ -380,7 +399,7 @@
         )
         if ahead_count == len(waiters):
             return False
-        last = self._seats[waiters[-1]]
+        last = self._pending[waiters[-1]]
         self.give_up(last)
         self._displaced.append(last)
         return True
@@ -397,11 +416,11 @@
             waiting=len(self._queue),
         )
 
-    def _facts(self, request, came_at_s):
+    def _facts(self, request, arrived_at_s):
         facts = WaitFacts(
             request.kind in STREAM_KINDS,
             request.is_return,
-            came_at_s,
+            arrived_at_s,
             request.deadline,
             self.request_times.usual_s(request.route.name),
             self.expected_left_s(request.service_name),
@@ -411,12 +430,12 @@
         return facts
 
     def _note_group_opened(self, group):
-        """Look at once for targets of all requests that wait."""
+        """Search targets for all waiting requests in the next round."""
         self._next_try.clear()
         self._outages.forget_tests()
 
     def _refusal_behind(self, request, ahead_count):
-        """Return the refusal of a request that comes while others go first."""
+        """Return the refusal of a new request that has others ahead in the queue."""
         outage = self._outages.outage(request.service_name)
         if outage is not None:
             return self._refusal_for_outage(request, outage)
