--- a/siskinthread/gateway/tests/load_replay.py
+++ b/siskinthread/gateway/tests/load_replay.py
@@ -1,8 +1,7 @@
-"""Scripted callers of some hosts whose targets are down, full or slow for a time.
+"""Simulation of callers and hosts whose targets are down, full or slow for a time.
 
-Hosts are the real choice of targets and the real waiting room; targets are slots that
-are busy for a fixed time, with a queue.  There is no network, and the clock moves in
-steps.
+Hosts use the real target selection and the real waiting room.  Targets are slots with a
+fixed service time and a queue.  There is no network, and the clock advances in steps.
 """
 
 import collections
@@ -21,48 +20,49 @@
 from siskinthread.timing import Deadline, ManualClock
 
 STEP_S = 0.02
-# Callers leave a stream without an event after this time.
+# Callers abandon a stream that has no event within this time.
 SILENCE_S = 2.0
 FIRST_EVENT_S = 0.1
 # Requests that a target holds beyond its slots before it declines.
 QUEUE_LIMIT = 4
-NEWS_INTERVAL_S = 0.1
+UPDATE_INTERVAL_S = 0.1
 OBJECTIVE_S = 0.4
-# The part of the time left within which callers wait to come back.
-RETURN_SHARE = 1 / 3
+# Callers retry only if the announced delay is within this share of their remaining
+# time.
+RETRY_LIMIT_SHARE = 1 / 3
 
 
 class Call:
-    """What one caller wants, over its first try and its retry."""
+    """A caller's request, with its first try and its retry."""
 
-    def __init__(self, at_s, deadline_s, priority=0, obeys=True):
+    def __init__(self, at_s, deadline_s, priority=0, respects_delay=True):
         self.at_s = at_s
         self.deadline_s = deadline_s
         self.deadline_at_s = at_s + deadline_s
         self.priority = priority
-        self.obeys = obeys
+        self.respects_delay = respects_delay
         self.try_count = 0
-        self.told_s = None
+        self.retry_after_s = None
         self.result = None
         self.started_at_s = None
-        # Whether it was told a time with a promised place, and whether it came then.
+        # Whether a place was booked for its return.
         self.is_promised = False
-        # The host that refused it first.
-        self.told_by = None
+        # The host that refused its first try.
+        self.refused_by = None
         self.is_return = False
 
 
 class ReplayedPeers:
-    """Loads of the other hosts, as their updates tell them.
+    """Loads of the other hosts, as reported by their updates.
 
     Parameters
     ----------
     hosts : list of GatewayParts
         All hosts.
     own : GatewayParts
-        The one that is told.
+        The host that receives the updates.
     delay_s : float
-        How long an update is on its way, seconds.
+        Network latency of an update, seconds.
     """
 
     def __init__(self, hosts, own, delay_s):
@@ -72,8 +72,11 @@
         self._known = {}
 
     def exchange(self, now_s):
-        """Send an update if one is due, and take those that have arrived."""
-        if not self._sent or now_s >= self._sent[-1][0] + NEWS_INTERVAL_S - STEP_S / 2:
+        """Send an update if one is due, and apply those that have arrived."""
+        if (
+            not self._sent
+            or now_s >= self._sent[-1][0] + UPDATE_INTERVAL_S - STEP_S / 2
+        ):
             counts = collections.Counter()
             for one in self._others:
                 counts.update(one.loads.own_counts())
@@ -82,7 +85,7 @@
             self._known = self._sent.pop(0)[1]
 
     def has_fresh_loads(self):
-        """Return whether updates arrive."""
+        """Return whether loads are up to date."""
         return True
 
     def counts(self, instance_id):
@@ -90,45 +93,47 @@
         return self._known.get(instance_id, 0)
 
     def sharing_count(self):
-        """Return how many hosts tell of their requests."""
+        """Return the number of hosts that report their loads."""
         return len(self._others)
 
     def fleet_count(self):
-        """Return how many hosts there are."""
+        """Return the number of hosts."""
         return 1 + len(self._others)
 
     def told_interval_s(self):
         """Return the time between two updates of a host."""
-        return NEWS_INTERVAL_S
+        return UPDATE_INTERVAL_S
 
     def is_crowded(self):
-        """Return whether only near hosts tell of their requests soon."""
+        """Return whether only hosts of the own failure domain report often."""
         return False
 
     def excess_tokens(self):
-        """Return tokens beyond the usual size by target."""
+        """Return no excess tokens."""
         return {}
 
 
 class Replay:
-    """Some hosts, their targets and their callers.
+    """Hosts, their targets and their callers.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Settings of the host.
-    target_count, slot_count : int
-        Targets of the service, and the slots of each.
+        Settings of the hosts.
+    target_count : int
+        Number of targets of the service.
+    slot_count : int
+        Number of slots of each target.
     busy_s : float
-        How long a request is at a target, seconds.
+        Service time of a request, seconds.
     down : tuple of float
-        When the group of all targets breaks and when it is open again, seconds.
+        Start and end of an outage of the group of all targets, seconds.
     host_count : int
-        Hosts, of which a caller chooses one by chance for each try.
+        Number of hosts; each try of a caller goes to a random one.
     delay_s : float
-        How long updates between them are on their way, seconds.
+        Network latency of updates between hosts, seconds.
     seed : int
-        Seed of that chance.
+        Seed for the selection of hosts.
     """
 
     def __init__(
@@ -145,8 +150,8 @@
         self.clock = ManualClock(0.0)
         self.hosts = []
         for number in range(host_count):
-            drawn = random.Random(3 + number)
-            host = GatewayParts(settings, "a", None, self.clock, Metrics(), drawn)
+            rng = random.Random(3 + number)
+            host = GatewayParts(settings, "a", None, self.clock, Metrics(), rng)
             for target in range(target_count):
                 host.targets.put(entry(f"i-{target}", slots=slot_count))
             if down[1] > down[0]:
@@ -156,23 +161,23 @@
         if host_count > 1:
             for host in self.hosts:
                 host.loads.peers = ReplayedPeers(self.hosts, host, delay_s)
-        # When each slot of a target is free.
-        self._open_hosts = list(self.hosts)
+        self._reachable_hosts = list(self.hosts)
+        # Times at which the slots of each target become free.
         self._slots = {
             f"i-{target}": [0.0] * slot_count for target in range(target_count)
         }
-        self._drawn = random.Random(seed)
+        self._random = random.Random(seed)
         self._down = down
         self._busy_s = busy_s
         self._events = []
-        self._numbers = itertools.count()
-        self._seats = {}
+        self._sequence = itertools.count()
+        self._pending = {}
         self._routes = {}
 
     def run(self, calls, end_s):
-        """Let all calls come; each gets its result."""
+        """Run all calls; sets the result of each."""
         for call in calls:
-            self._at(call.at_s, self._come, call)
+            self._at(call.at_s, self._arrive, call)
         while self.clock.monotonic_s() < end_s:
             self.clock.advance(STEP_S)
             now_s = self.clock.monotonic_s()
@@ -185,22 +190,22 @@
                 self._release(host)
 
     def kill_at(self, at_s):
-        """Let no caller come to the first host from a time on.
+        """Send no callers to the first host from a given time on.
 
-        Its requests are served to their end, so that only its promises are lost.
+        Its requests in flight are completed, so that only its booked returns are lost.
         """
-        self._at(at_s, self._open_hosts.remove, self.hosts[0])
+        self._at(at_s, self._reachable_hosts.remove, self.hosts[0])
 
     def is_down(self):
-        """Return whether the group is broken now."""
+        """Return whether the group is down now."""
         return self._down[0] <= self.clock.monotonic_s() < self._down[1]
 
     def _at(self, at_s, action, *arguments):
-        heapq.heappush(self._events, (at_s, next(self._numbers), action, arguments))
+        heapq.heappush(self._events, (at_s, next(self._sequence), action, arguments))
 
-    def _come(self, call):
+    def _arrive(self, call):
         call.try_count += 1
-        host = self._drawn.choice(self._open_hosts)
+        host = self._random.choice(self._reachable_hosts)
         left_s = call.deadline_at_s - self.clock.monotonic_s()
         request = GatewayRequest(
             None,
@@ -212,13 +217,13 @@
             1,
             Deadline.after(self.clock, left_s),
         )
-        host.returns.note_came(request)
+        host.returns.note_arrival(request)
         host.load_control.note_asked(request)
         call.is_return = request.is_return
         self._try(host, call, request, set(), self.clock.monotonic_s())
 
     def _route(self, call):
-        """Return the route of calls with the same priority and deadline."""
+        """Return the route for the priority and deadline of a call."""
         key = (call.priority, call.deadline_s)
         if key not in self._routes:
             route = build_route("a.example", f"/{key}/")
@@ -228,35 +233,35 @@
             self._routes[key] = route
         return self._routes[key]
 
-    def _try(self, host, call, request, tried_ids, came_at_s):
+    def _try(self, host, call, request, tried_ids, arrived_at_s):
         room = host.waiting_room
-        chosen = room.choose(request, tried_ids, came_at_s)
+        chosen = room.choose(request, tried_ids, arrived_at_s)
         if not isinstance(chosen, End):
-            self._start(host, call, request, tried_ids, came_at_s, chosen)
+            self._start(host, call, request, tried_ids, arrived_at_s, chosen)
             return
-        seat = room.join(request, tried_ids, came_at_s, chosen)
-        if seat is None:
+        pending = room.join(request, tried_ids, arrived_at_s, chosen)
+        if pending is None:
             self._refuse(host, call, request, chosen)
         else:
-            self._seats[seat] = (host, call, request, tried_ids, came_at_s)
+            self._pending[pending] = (host, call, request, tried_ids, arrived_at_s)
 
     def _release(self, host):
         room = host.waiting_room
-        for seat in room.releases("app"):
-            self._settle(seat)
-        for seat in list(self._seats):
-            if self._seats[seat][0] is host and seat.waiter.until.passed():
-                room.give_up(seat)
-                self._settle(seat)
-
-    def _settle(self, seat):
-        host, call, request, tried_ids, came_at_s = self._seats.pop(seat)
-        if isinstance(seat.outcome, End):
-            self._refuse(host, call, request, seat.outcome)
+        for pending in room.releases("app"):
+            self._settle(pending)
+        for pending in list(self._pending):
+            if self._pending[pending][0] is host and pending.waiter.until.passed():
+                room.give_up(pending)
+                self._settle(pending)
+
+    def _settle(self, pending):
+        host, call, request, tried_ids, arrived_at_s = self._pending.pop(pending)
+        if isinstance(pending.outcome, End):
+            self._refuse(host, call, request, pending.outcome)
         else:
-            self._start(host, call, request, tried_ids, came_at_s, seat.outcome)
+            self._start(host, call, request, tried_ids, arrived_at_s, pending.outcome)
 
-    def _start(self, host, call, request, tried_ids, came_at_s, target):
+    def _start(self, host, call, request, tried_ids, arrived_at_s, target):
         room = host.waiting_room
         outages = host.outages
         outages.note_sent("g")
@@ -270,7 +275,7 @@
             room.note_attempt_over(request)
             tried_ids.add(target.instance_id)
             if len(tried_ids) < request.route.attempt_limit:
-                self._try(host, call, request, tried_ids, came_at_s)
+                self._try(host, call, request, tried_ids, arrived_at_s)
             else:
                 self._refuse(
                     host, call, request, self._last_refusal(host, request, tried_ids)
@@ -284,7 +289,7 @@
         running = host.load_control.started(request, target)
         self._at(begin_s + FIRST_EVENT_S, room.note_served, "app")
         self._at(begin_s + FIRST_EVENT_S, outages.note_served, "g", now_s)
-        self._at(end_s, self._end, host, call, request, target, came_at_s, running)
+        self._at(end_s, self._end, host, call, request, target, arrived_at_s, running)
 
     def _last_refusal(self, host, request, tried_ids):
         """Return the refusal of a request that has no attempt left."""
@@ -296,14 +301,14 @@
         end.retry_after_s = host.choice.come_back_after_s(request)
         return end
 
-    def _end(self, host, call, request, target, came_at_s, running):
+    def _end(self, host, call, request, target, arrived_at_s, running):
         now_s = self.clock.monotonic_s()
         host.loads.ended(target.instance_id)
         running.ended(True)
         host.outages.note_ended("g")
         host.waiting_room.note_attempt_over(request)
         host.waiting_room.request_times.note(request.route.name, self._busy_s)
-        silent_s = call.started_at_s + FIRST_EVENT_S - came_at_s
+        silent_s = call.started_at_s + FIRST_EVENT_S - arrived_at_s
         is_served = now_s <= call.deadline_at_s and silent_s <= SILENCE_S
         call.result = "served" if is_served else "left"
 
@@ -312,21 +317,21 @@
         call.result = "refused"
         if call.try_count > 1:
             return
-        call.told_s = end.retry_after_s
-        call.told_by = host
+        call.retry_after_s = end.retry_after_s
+        call.refused_by = host
         call.is_promised = getattr(request, "is_return_promised", False)
         left_s = call.deadline_at_s - now_s
-        if not call.obeys:
-            self._at(now_s, self._come, call)
-        elif call.told_s <= left_s * RETURN_SHARE:
-            self._at(now_s + call.told_s, self._come, call)
+        if not call.respects_delay:
+            self._at(now_s, self._arrive, call)
+        elif call.retry_after_s <= left_s * RETRY_LIMIT_SHARE:
+            self._at(now_s + call.retry_after_s, self._arrive, call)
 
 
 def settings(**values):
-    """Return settings of a host, of which some sections are given."""
+    """Return settings of a host with the given sections."""
     return GatewaySettings(**values)
 
 
 def share(calls, result="served"):
-    """Return the part of some calls that ended so."""
+    """Return the share of calls with a given result."""
     return sum(call.result == result for call in calls) / len(calls)
--- a/siskinthread/gateway/tests/parts.py
+++ b/siskinthread/gateway/tests/parts.py
@@ -1,4 +1,4 @@
-"""Entries and settings for tests of single parts."""
+"""Target entries, settings and a clock for tests of single components."""
 
 from siskinthread.gateway import GatewaySettings, TargetEntry
 from siskinthread.timing import ManualClock
@@ -16,10 +16,10 @@
 
 
 def ids(entries):
-    """Return the ids of entries."""
+    """Return the instance ids of entries."""
     return [one.instance_id for one in entries]
 
 
 def clock():
-    """Return a clock that the test moves."""
+    """Return a clock that the test advances."""
     return ManualClock()
--- a/siskinthread/gateway/tests/return_trials.py
+++ b/siskinthread/gateway/tests/return_trials.py
@@ -1,7 +1,7 @@
-"""Prints what callers get in shortages and outages: ``python -m`` with this module.
+"""Simulation of refused callers in overloads and outages; prints a table of results.
 
-Options name settings of load control or returns, as in ``late_gives_way=False`` or
-``booked_share=0.1``; ``hosts=12`` sets the number of hosts.
+Run it with ``python -m``.  Arguments are settings of load control or returns, such as
+``late_gives_way=False`` or ``booked_share=0.1``; ``hosts=12`` sets the number of hosts.
 """
 
 import random
@@ -11,7 +11,7 @@
 from siskinthread.load_control import LoadControlSettings, ReturnSettings
 
 SEEDS = (1, 2, 3)
-# Sixteen slots, each for 0.2 s.
+# Sixteen slots with a service time of 0.2 s.
 CAPACITY_PER_S = 80.0
 BURST_S = (2.0, 7.0)
 COLUMNS = ("burst served", "served", "first return", "promised", "kept", "again")
@@ -24,19 +24,19 @@
     Parameters
     ----------
     name : str
-        What the table calls it.
-    over : float
-        What callers ask for in the burst, in parts of the capacity; 0 for an outage.
-    disobeying_share : float
-        The part of the callers that retry at once.
+        Name in the table.
+    burst_load : float
+        Request rate in the burst as a multiple of the capacity; 0 for an outage.
+    immediate_retry_share : float
+        Share of the callers that ignore the announced delay and retry immediately.
     down_s : float
-        How long the targets are down, seconds.
+        Duration of the outage, seconds.
     """
 
-    def __init__(self, name, over=0.0, disobeying_share=0.0, down_s=0.0):
+    def __init__(self, name, burst_load=0.0, immediate_retry_share=0.0, down_s=0.0):
         self.name = name
-        self.over = over
-        self.disobeying_share = disobeying_share
+        self.burst_load = burst_load
+        self.immediate_retry_share = immediate_retry_share
         self.down_s = down_s
 
     def calls(self, seed):
@@ -44,17 +44,23 @@
         if self.down_s:
             end_s = 8.0 + self.down_s
             return [Call(0.04 * number, 8.0) for number in range(int(end_s * 25))]
-        drawn = random.Random(seed)
+        rng = random.Random(seed)
         calls = []
         at_s = 0.0
         while at_s < 12.0:
             is_burst = BURST_S[0] <= at_s < BURST_S[1]
-            at_s += drawn.expovariate(CAPACITY_PER_S * (self.over if is_burst else 0.5))
-            calls.append(Call(at_s, 8.0, obeys=drawn.random() >= self.disobeying_share))
+            at_s += rng.expovariate(
+                CAPACITY_PER_S * (self.burst_load if is_burst else 0.5)
+            )
+            calls.append(
+                Call(
+                    at_s, 8.0, respects_delay=rng.random() >= self.immediate_retry_share
+                )
+            )
         return calls
 
     def run(self, seed, host_settings, host_count=1, delay_s=0.1):
-        """Let the calls come to some hosts; return them."""
+        """Run the calls of a seed; return them with their results."""
         calls = self.calls(seed)
         if self.down_s:
             down = (1.0, 1.0 + self.down_s)
@@ -77,21 +83,21 @@
 )
 
 
-class Measured:
-    """What became of the calls of a trial.
+class CallResults:
+    """Results of the calls of a trial.
 
     Attributes
     ----------
     served, in_time, refused_again : float
-        Parts of all calls.
+        Shares of all calls.
     burst_served : float
-        Part of those that came in the burst.
+        Share of served calls among those that arrived in the burst.
     first_return : float
-        Part of the callers that came back as told that were served then.
+        Share of served calls among those that retried after the announced delay.
     promised : float
-        Part of these that were promised a place.
+        Share of these retries for which a place was booked.
     promised_served : float
-        Part of the promised ones that were served.
+        Share of served calls among those with a booked place.
     """
 
     def __init__(self, calls):
@@ -100,14 +106,20 @@
         self.refused_again = _share(calls, _is_refused_again)
         burst = [one for one in calls if BURST_S[0] <= one.at_s < BURST_S[1]]
         self.burst_served = _share(burst, _is_served)
-        returns = [one for one in calls if one.obeys and one.try_count == 2]
+        returns = [one for one in calls if one.respects_delay and one.try_count == 2]
         promised = [one for one in returns if one.is_promised]
         self.first_return = _share(returns, _is_served)
         self.promised = len(promised) / max(1, len(returns))
         self.promised_served = _share(promised, _is_served)
 
     def worth(self, late_worth):
-        """Return what callers have, 1 for each answer in time."""
+        """Return the value of the answers per call.
+
+        Parameters
+        ----------
+        late_worth : float
+            Value of a late answer; an answer in time has the value 1.
+        """
         return self.in_time + late_worth * (self.served - self.in_time)
 
     def row(self):
@@ -117,8 +129,8 @@
         return [*shares, self.worth(0.25), self.worth(0.5)]
 
 
-def _share(calls, is_so):
-    return sum(map(is_so, calls)) / max(1, len(calls))
+def _share(calls, predicate):
+    return sum(map(predicate, calls)) / max(1, len(calls))
 
 
 def _is_served(call):
@@ -130,17 +142,19 @@
 
 
 def _is_refused_again(call):
-    return call.try_count == 2 and call.obeys and call.result == "refused"
+    return call.try_count == 2 and call.respects_delay and call.result == "refused"
 
 
 def mean_row(load, host_settings, host_count, seeds=SEEDS):
-    """Return the columns of the table, as means of some seeds."""
-    rows = [Measured(load.run(seed, host_settings, host_count)).row() for seed in seeds]
+    """Return the columns of the table as means over seeds."""
+    rows = [
+        CallResults(load.run(seed, host_settings, host_count)).row() for seed in seeds
+    ]
     return [sum(column) / len(rows) for column in zip(*rows, strict=True)]
 
 
 def trial_settings(options):
-    """Return settings of hosts with some options, texts as ``late_gives_way=False``."""
+    """Return settings of hosts from options such as ``late_gives_way=False``."""
     values = {}
     for option in options:
         name, _, value = option.partition("=")
--- a/siskinthread/gateway/tests/test_connection_preference.py
+++ b/siskinthread/gateway/tests/test_connection_preference.py
@@ -1,4 +1,4 @@
-"""Kept connections: which are kept, and which targets are preferred for them."""
+"""Kept connections to targets, and the preference for targets that have one."""
 
 import errno
 import socket
@@ -13,11 +13,11 @@
 from siskinthread.gateway._target_connection import TargetConnection
 from siskinthread.gateway.tests.connection_replay import (
     ConnectionReplay,
-    domain_of,
+    group_per_domain,
     Kind,
 )
 from siskinthread.gateway.tests.parts import entry
-from siskinthread.gateway.tests.test_target_choice import Crowd, Parts
+from siskinthread.gateway.tests.test_target_choice import ManyPeers, Parts
 from siskinthread.timing import Deadline, SYSTEM_CLOCK
 
 
@@ -27,26 +27,26 @@
     def __init__(self, is_closed=False):
         self.is_closed = is_closed
 
-    def is_fresh(self):
-        """Return whether it may carry a request."""
+    def is_reusable(self):
+        """Return whether the connection may carry a request."""
         return not self.is_closed
 
 
 def choose_often(parts, kind=RequestKind.STREAM_RESUMABLE, count=20):
-    """Return the ids of the targets of some requests."""
+    """Return the instance ids chosen for a number of requests."""
     request = parts.request()
     request.route.kind = kind
     return {parts.choice.choose(request, set()).instance_id for _ in range(count)}
 
 
 def keep(parts, *instance_ids, is_closed=False):
-    """Keep a connection to each of some targets."""
+    """Keep a connection to each of the targets."""
     for instance_id in instance_ids:
         parts.pool.idle.add(instance_id, FakeConnection(is_closed))
 
 
 def equal_targets(settings=None):
-    """Return a choice among four ranks of a group that differ in nothing."""
+    """Return target selection over four equal ranks of a group."""
     entries = [entry(f"i-{number}") for number in range(4)]
     parts = Parts(*entries, settings=settings) if settings else Parts(*entries)
     parts.choice.group_of = lambda instance_id: "g"
@@ -54,7 +54,7 @@
 
 
 def test_target_with_a_connection_goes_before_equal_ones():
-    """Each request opened a connection while others to equal targets were idle."""
+    """A request opened a connection although an equal target had an idle one."""
     parts = equal_targets()
     keep(parts, "i-1", "i-2")
     assert choose_often(parts) == {"i-1", "i-2"}
@@ -62,14 +62,14 @@
 
 @pytest.mark.parametrize("kind", [RequestKind.ONCE, RequestKind.STREAM_ONCE])
 def test_request_that_must_not_run_twice_is_placed_without_connections(kind):
-    """It opens a connection in any case, and took a target from one that needs none."""
+    """Such a request never reuses a connection, so it must not prefer its target."""
     parts = equal_targets()
     keep(parts, "i-1")
     assert choose_often(parts, kind, count=60) == {"i-0", "i-1", "i-2", "i-3"}
 
 
-def test_connection_that_its_target_has_closed_is_no_reason():
-    """A request went to a target for a connection that could not carry it."""
+def test_closed_connection_is_not_preferred():
+    """A request preferred a target for a connection that was already closed."""
     parts = equal_targets()
     keep(parts, "i-1", is_closed=True)
     assert len(choose_often(parts, count=60)) == 4
@@ -84,36 +84,36 @@
 
 
 def test_targets_without_a_group_all_get_requests():
-    """Equal targets got none as long as one of them had a connection."""
+    """Equal targets got no requests as long as one of them had a connection."""
     parts = Parts(*(entry(f"i-{number}") for number in range(4)))
     keep(parts, "i-1")
     assert len(choose_often(parts, count=60)) == 4
 
 
 def test_full_target_is_not_chosen_for_its_connection_elsewhere():
-    """In a crowd, targets of other domains are drawn by chance; never a full one."""
+    """With many peers, no full target of another failure domain is drawn."""
     for seed in range(20):
-        crowd = Crowd(near=[5, 5], away=[5, 4, 4], seed=seed)
-        crowd.choice.group_of = lambda instance_id: "g"
-        keep(crowd, "away-0", "away-2")
-        assert choose_often(crowd) <= {"away-1", "away-2"}
+        many_peers = ManyPeers(near=[5, 5], away=[5, 4, 4], seed=seed)
+        many_peers.choice.group_of = lambda instance_id: "g"
+        keep(many_peers, "away-0", "away-2")
+        assert choose_often(many_peers) <= {"away-1", "away-2"}
 
 
 def test_connections_of_a_host_are_bounded():
-    """Many targets, each with few connections, took all descriptors of a host."""
+    """Many targets with few connections each used up the file descriptors of a host."""
     limits = ConnectionSettings(idle_total_limit=3)
     idle = IdleConnections(GatewaySettings(connections=limits))
     kept = [FakeConnection() for _ in range(5)]
     surplus = [idle.add(f"i-{number}", one) for number, one in enumerate(kept)]
     assert surplus == [[], [], [], [kept[0]], [kept[1]]]
     assert len(idle) == 3
-    assert not idle.has_fresh("i-0")
+    assert not idle.has_reusable("i-0")
     assert idle.take("i-4") is kept[4]
-    assert idle.drop_stale({"i-2"}) == [kept[3]]
+    assert idle.drop_unusable({"i-2"}) == [kept[3]]
 
 
 def ranks_with(loads, connected):
-    """Return a choice among the ranks of one group, of 5 slots, by their requests."""
+    """Return target selection over ranks of one group with 5 slots and given loads."""
     ranks = [entry(f"g-{number}", slots=5) for number in range(len(loads))]
     parts = Parts(*ranks)
     parts.choice.group_of = lambda instance_id: instance_id[0]
@@ -128,20 +128,20 @@
     ("loads", "connected", "chosen"),
     [
         ([0, 2, 2], ["g-1"], "g-1"),
-        # The least busy one that has a connection.
+        # The least loaded rank that has a connection.
         ([0, 2, 1], ["g-1", "g-2"], "g-2"),
         ([0, 3, 3], ["g-1", "g-2"], "g-0"),
-        # Full ones wait for a slot, however small the difference is.
+        # Full ranks are excluded, even if the difference is small.
         ([3, 5, 5], ["g-1", "g-2"], "g-0"),
     ],
 )
 def test_rank_with_a_connection_may_be_a_little_busier(loads, connected, chosen):
-    """Each request to the least loaded rank opened a connection there."""
+    """Always choosing the least loaded rank opened a connection for each request."""
     assert choose_often(ranks_with(loads, connected)) == {chosen}
 
 
 def test_busier_group_is_not_entered_for_a_connection():
-    """A group's load slows all of its ranks; a connection is worth less."""
+    """The load of a group slows all its ranks, which costs more than a connection."""
     parts = Parts(entry("a-1"), entry("b-1"))
     parts.choice.group_of = lambda instance_id: instance_id[0]
     parts.loads.started("b-1")
@@ -149,17 +149,17 @@
     assert choose_often(parts) == {"a-1"}
 
 
-def replayed(is_preferred, grouped, host_count=12):
-    """Return the figures of a replay of twelve hosts."""
+def replayed(is_preferred, group_of, host_count=12):
+    """Return the figures of a replay."""
     connections = ConnectionSettings(is_preferred=is_preferred)
-    replay = ConnectionReplay(host_count, connections, 4.0, grouped)
+    replay = ConnectionReplay(host_count, connections, 4.0, group_of)
     replay.play(Kind("s", 1, request_kind=RequestKind.STREAM_RESUMABLE), 150.0, 16.0)
     return replay.figures()
 
 
 def test_hosts_that_prefer_connections_spread_requests_as_evenly():
-    """Hosts that all return to where they were made some ranks full."""
-    before, after = replayed(False, domain_of), replayed(True, domain_of)
+    """Some ranks got full as all hosts reused their connections to them."""
+    before, after = replayed(False, group_per_domain), replayed(True, group_per_domain)
     assert after["new"] < before["new"] / 2
     assert after["jain"] > before["jain"] - 0.01
     assert after["met full"] <= before["met full"]
@@ -167,7 +167,7 @@
 
 
 def test_targets_without_groups_are_served_as_before():
-    """A deployment without groups was placed otherwise for its connections."""
+    """The preference changed target selection in deployments without groups."""
     assert replayed(True, None) == replayed(False, None)
 
 
@@ -175,7 +175,7 @@
 
 
 async def exchange(connection):
-    """Send a request, and take its answer."""
+    """Send a request, and receive its answer."""
     deadline = Deadline.after(SYSTEM_CLOCK, 2.0)
     headers = [(b"host", b"a")]
     await connection.send_request("GET", "/", headers, b"", deadline)
@@ -184,7 +184,7 @@
 
 
 def with_kept_connection(check, stated_s=None, settings=None):
-    """Call a check with a kept connection and its target's end of it."""
+    """Run a check with a kept connection and the target's end of it."""
 
     async def serve(client, address):
         await client.recv(1000)
@@ -199,7 +199,7 @@
         connection = TargetConnection(settings or GatewaySettings(), SYSTEM_CLOCK)
         await connection.open("127.0.0.1", port, Deadline.after(SYSTEM_CLOCK, 2.0))
         await exchange(connection)
-        assert await connection.rest(stated_s)
+        assert await connection.make_idle(stated_s)
         await check(connection, held[0])
         await connection.close()
         await server.cancel()
@@ -209,11 +209,11 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "bytes"])
-def test_connection_that_its_target_has_ended_is_found_out(how):
+def test_connection_that_its_target_has_ended_is_detected(how):
     """A request was written to a connection that the target had closed."""
 
     async def check(connection, target_end):
-        assert connection.is_fresh()
+        assert connection.is_reusable()
         if how == "bytes":
             await target_end.sendall(b"HTTP/1.1 408 Late\r\n\r\n")
         else:
@@ -223,7 +223,7 @@
             await target_end.shutdown(socket.SHUT_WR)
             await target_end.close()
         await curio.sleep(0.05)
-        assert not connection.is_fresh()
+        assert not connection.is_reusable()
 
     with_kept_connection(check)
 
@@ -231,18 +231,18 @@
 @pytest.mark.parametrize(
     ("stated_s", "kept_s"), [(None, 4.0), (5, 2.5), (20, 10.0), (60, 15.0), (0, 0.0)]
 )
-def test_connection_rests_for_half_of_what_its_target_states(stated_s, kept_s):
-    """One was closed after 4 s that its target would have kept for a minute."""
+def test_idle_time_is_half_of_what_the_target_states(stated_s, kept_s):
+    """A connection was closed after 4 s although its target kept it for a minute."""
 
     async def check(connection, target_end):
-        left_s = connection._rest_deadline.left_s()
+        left_s = connection._idle_deadline.left_s()
         assert max(0.0, kept_s - 1.0) <= left_s <= kept_s
 
     with_kept_connection(check, stated_s)
 
 
 def test_request_on_a_kept_connection_waits_no_longer_than_one_on_a_new_one():
-    """Targets behind a partition took 1.2 s of each request on a kept connection."""
+    """A kept connection to a partitioned target delayed each request by 1.2 s."""
 
     async def check(connection, target_end):
         def limit_ms():
--- a/siskinthread/gateway/tests/test_event_stream.py
+++ b/siskinthread/gateway/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events out of bytes that come in any pieces."""
+"""Splitting of event streams that arrive in arbitrary pieces."""
 
 from hypothesis import given, strategies as st
 
@@ -9,7 +9,7 @@
 
 
 def pieces(cuts):
-    """Return the bytes of all events, cut at some offsets."""
+    """Return the bytes of all events, cut at the given offsets."""
     ends = sorted({min(cut, len(WHOLE)) for cut in cuts} | {len(WHOLE)})
     starts = [0, *ends]
     return [WHOLE[start:end] for start, end in zip(starts, ends, strict=False)]
@@ -17,7 +17,7 @@
 
 @given(st.lists(st.integers(1, len(WHOLE)), max_size=20))
 def test_only_whole_events_pass_and_all_of_them(cuts):
-    """However the bytes are cut, what passes ends with an event and lacks none."""
+    """For any cuts, only complete events are passed on, and none is lost."""
     splitter = EventSplitter()
     passed = b""
     last_id = 0
@@ -34,8 +34,8 @@
     assert splitter.rest == b""
 
 
-def test_torn_event_is_held_back():
-    """Bytes of an event that has not ended stay behind."""
+def test_incomplete_event_is_held_back():
+    """The bytes of an incomplete event are held back."""
     splitter = EventSplitter()
     events = splitter.take(EVENTS[0] + EVENTS[1][:5])
     assert events.data == EVENTS[0]
@@ -43,13 +43,13 @@
 
 
 def test_gap_within_is_noticed():
-    """Ids that don't follow one another are told to the reader."""
+    """A gap between the ids of two events is reported."""
     events = EventSplitter().take(EVENTS[0] + EVENTS[2])
     assert not events.is_gapless
 
 
 def test_other_line_ends_pass_unchanged():
-    """Events with carriage returns are recognized and not altered."""
+    """Events with CRLF line ends are recognized and passed on unchanged."""
     data = b"id: 1\r\ndata: x\r\n\r\n"
     events = EventSplitter().take(data)
     assert events.data == data
--- a/siskinthread/gateway/tests/test_target_choice.py
+++ b/siskinthread/gateway/tests/test_target_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the target of an attempt."""
+"""Selection of the target for an attempt."""
 
 import random
 from types import SimpleNamespace
@@ -33,16 +33,16 @@
 
 
 class FakePeers:
-    """Peers of whose latest requests nothing is known.
+    """Peers that have started requests since their last update.
 
     Parameters
     ----------
     count : int
-        How many peers share their loads.
+        Number of peers that report their loads.
     counts : dict of str to int
-        Their requests by target.
+        Reported requests by target.
     crowded : bool
-        Whether only those of the own failure domain do.
+        Whether only peers of the own failure domain report often.
     """
 
     def __init__(self, count, counts=(), crowded=False):
@@ -51,28 +51,28 @@
         self._crowded = crowded
 
     def has_fresh_loads(self):
-        """Tell that their loads count."""
+        """Return whether loads are up to date."""
         return True
 
     def counts(self, instance_id):
-        """Return their requests at a target."""
+        """Return the reported requests at a target."""
         return self._counts.get(instance_id, 0)
 
     def sharing_count(self):
-        """Return how many share their loads."""
+        """Return the number of peers that report their loads."""
         return self._count
 
     def told_interval_s(self):
-        """Return the time between two news of a peer."""
+        """Return the time between two updates of a peer, seconds."""
         return 0.5
 
     def is_crowded(self):
-        """Return whether only near peers share their loads soon."""
+        """Return whether only peers of the own failure domain report often."""
         return self._crowded
 
 
 class Parts:
-    """A choice with its parts."""
+    """Target selection with the components that it uses."""
 
     def __init__(self, *entries, settings=SETTINGS):
         self.clock = clock()
@@ -99,7 +99,7 @@
         self.choice = TargetChoice(self, "a")
 
     def request(self, left_s=8.0):
-        """Return a request to the service of the entries."""
+        """Return a request to the service of the targets."""
         return GatewayRequest(
             None,
             b"",
@@ -112,13 +112,13 @@
         )
 
     def choose(self, tried=()):
-        """Return the id of the chosen target, or the refusal."""
+        """Return the instance id of the chosen target, or the refusal."""
         chosen = self.choice.choose(self.request(), set(tried))
         return chosen if isinstance(chosen, End) else chosen.instance_id
 
 
 def test_least_loaded_target_is_chosen():
-    """Own requests and those that targets report count together."""
+    """Own requests and loads that targets report are both counted."""
     parts = Parts(entry("i-1"), entry("i-2"), entry("i-3"))
     parts.loads.started("i-1")
     parts.loads.report("i-2", LoadReport(3, 0, 6))
@@ -126,7 +126,7 @@
 
 
 def test_reported_load_counts_only_while_it_is_new():
-    """A report of long ago says nothing of now."""
+    """An outdated report of a load must be ignored."""
     parts = Parts(entry("i-1"), entry("i-2"))
     parts.loads.report("i-2", LoadReport(3, 0, 6))
     parts.loads.started("i-1")
@@ -135,10 +135,10 @@
     assert parts.choose() == "i-2"
 
 
-def test_group_goes_before_rank():
-    """Symptom: an idle rank is chosen in a group that is slow.
+def test_group_load_precedes_rank_load():
+    """Guards against the choice of an idle rank in a loaded group.
 
-    Cause: the ranks of a group run in lock-step, so its load slows all of them.
+    The ranks of a group run in lock-step, so the load of the group slows all of them.
     """
     parts = Parts(entry("a-1"), entry("a-2"), entry("b-1"), entry("b-2"))
     parts.choice.group_of = lambda instance_id: instance_id[0]
@@ -151,7 +151,7 @@
 
 
 def test_second_attempt_leaves_the_group_that_failed():
-    """When one rank of a group fails, all of them do."""
+    """When one rank of a group fails, all ranks of the group fail."""
     parts = Parts(entry("a-1"), entry("a-2"), entry("b-1"))
     parts.choice.group_of = lambda instance_id: instance_id[0]
     for _ in range(3):
@@ -160,7 +160,7 @@
 
 
 def test_failing_target_is_passed_over_unless_all_fail():
-    """One that fails is left alone for a while; with all failing, one is tried."""
+    """A failing target is avoided for a while, unless there is no other."""
     parts = Parts(entry("i-1"), entry("i-2"))
     parts.health.failed("i-1", "can't connect")
     assert parts.choose() == "i-2"
@@ -168,8 +168,8 @@
     assert parts.choose() in ("i-1", "i-2")
 
 
-def test_full_targets_refuse_with_when_to_come_back():
-    """Beyond what can be served in time, the answer is a refusal at once."""
+def test_full_targets_refuse_with_a_retry_delay():
+    """Requests that can't be served in time are refused immediately."""
     parts = Parts(entry("i-1", slots=2))
     for _ in range(2):
         parts.loads.started("i-1")
@@ -179,8 +179,8 @@
 
 
 @pytest.mark.parametrize("left_s", [0.2, 1.0, 8.0])
-def test_callers_come_back_within_a_third_of_their_time(left_s):
-    """A later time would keep them from coming back at all."""
+def test_retry_delay_is_within_a_third_of_the_remaining_time(left_s):
+    """With a longer delay, callers would not retry at all."""
     parts = Parts(entry("i-1"))
     request = parts.request(left_s)
     assert parts.choice.come_back_after_s(request) < left_s / 3
@@ -188,19 +188,19 @@
     assert parts.choice.come_back_after_s(request) < left_s / 3
 
 
-def test_callers_refused_together_come_back_apart():
-    """Symptom: an overload repeats itself a second later."""
+def test_callers_refused_together_retry_apart():
+    """Guards against synchronized retries that repeat an overload a second later."""
     parts = Parts(entry("i-1"))
     request = parts.request()
     times = {round(parts.choice.come_back_after_s(request), 2) for _ in range(50)}
     assert len(times) > 20
 
 
-def test_entries_do_not_all_choose_the_target_that_looked_idle():
-    """Symptom: streams wait behind full slots while many targets have free ones.
+def test_hosts_do_not_all_choose_the_target_that_looked_idle():
+    """Guards against streams that wait at full targets while others have free slots.
 
-    Events: 39 entries hear of loads every half second, and see the same few idle
-    targets.  Cause: each of them sent to the least loaded one until the next news.
+    39 hosts get load updates every half second and see the same few idle targets.
+    Until the next update, all of them would send to the least loaded one.
     """
     loaded = {f"i-{number}": 1 + number % 2 for number in range(20)}
     chosen = set()
@@ -209,7 +209,7 @@
         parts.loads.peers = FakePeers(38, loaded)
         parts.choice._random = random.Random(seed)
         for _ in range(6):
-            # Requests that began and ended here show the rate at which peers begin.
+            # The rate of own requests is the estimate for the rate of each peer.
             parts.loads.started("i-0")
             parts.loads.ended("i-0")
         chosen.add(parts.choose())
@@ -217,7 +217,7 @@
 
 
 def test_full_target_is_not_chosen_by_chance():
-    """What can't be told apart from the best does not include full targets."""
+    """A full target is never indistinguishable from the best one."""
     for seed in range(20):
         parts = Parts(entry("i-full", slots=5), entry("i-free", slots=5))
         parts.loads.peers = FakePeers(38, {"i-full": 5})
@@ -229,7 +229,7 @@
 
 
 def test_group_that_is_busier_by_less_than_is_unseen_counts_as_alike():
-    """Symptom: all entries send to one group, then all to the other."""
+    """Guards against oscillation in which all hosts send to the same group in turn."""
     chosen = set()
     for seed in range(20):
         parts = Parts(entry("a-1", slots=5), entry("b-1", slots=5))
@@ -243,8 +243,8 @@
     assert chosen == {"a-1", "b-1"}
 
 
-class Crowd(Parts):
-    """Entries of many hosts in two failure domains, with loads as peers told them."""
+class ManyPeers(Parts):
+    """Targets in two failure domains, with loads that many peers have reported."""
 
     def __init__(self, near, away, seed=1):
         loads = {f"near-{number}": load for number, load in enumerate(near)}
@@ -259,53 +259,53 @@
         self.choice._random = random.Random(seed)
 
 
-def test_last_free_slots_are_left_to_nobody():
-    """Symptom: a third more requests are in the system than it has slots.
+def test_last_free_slots_are_not_overbooked():
+    """Guards against a third more requests in the system than it has slots.
 
-    Events: a slot gets free; the next news tell it to all entries, and ten of them send
-    a request to it at once.
+    When a slot gets free, all hosts learn of it with the next update, and ten of them
+    send a request to it at the same time.
     """
-    crowd = Crowd(near=[5, 5, 5, 4], away=[5, 5, 5, 4])
-    assert crowd.choose().reason == Reason.OVERLOADED
+    many_peers = ManyPeers(near=[5, 5, 5, 4], away=[5, 5, 5, 4])
+    assert many_peers.choose().reason == Reason.OVERLOADED
 
 
-def test_idle_target_elsewhere_is_no_reason_to_leave_the_own_domain():
-    """Symptom: a third of the streams wait behind full slots, with others free.
+def test_idle_target_elsewhere_does_not_attract_all_hosts():
+    """Guards against a third of the streams waiting while other slots are free.
 
-    Events: entries of each domain see one idle target in another one by news that are a
+    The hosts of a domain see one idle target in another domain, by updates that are a
     second old, and all of them send to it.
     """
-    crowd = Crowd(near=[4, 4, 4], away=[0, 4, 5, 4])
-    assert crowd.choose().startswith("near")
+    many_peers = ManyPeers(near=[4, 4, 4], away=[0, 4, 5, 4])
+    assert many_peers.choose().startswith("near")
 
 
 def test_clearly_busier_domain_sends_to_others_by_chance():
-    """Requests are spread over all that have free slots there."""
+    """Requests are spread over all targets there that have free slots."""
     chosen = {
-        Crowd(near=[4, 4, 5], away=[1, 2, 2, 5], seed=seed).choose()
+        ManyPeers(near=[4, 4, 5], away=[1, 2, 2, 5], seed=seed).choose()
         for seed in range(40)
     }
     assert chosen == {"away-0", "away-1", "away-2"}
 
 
 def test_full_domain_sends_to_others():
-    """A small difference does not matter when no slot is free."""
-    assert Crowd(near=[5, 5], away=[4, 5]).choose() == "away-0"
+    """With no free slot in the own domain, any lower load elsewhere is sufficient."""
+    assert ManyPeers(near=[5, 5], away=[4, 5]).choose() == "away-0"
 
 
-def test_own_domain_takes_what_others_can_not():
-    """With all targets elsewhere full, or none there."""
-    assert Crowd(near=[4], away=[5, 5]).choose() == "near-0"
-    assert Crowd(near=[4], away=[]).choose() == "near-0"
+def test_own_domain_serves_what_others_can_not():
+    """The own domain serves requests if other domains are full or have no targets."""
+    assert ManyPeers(near=[4], away=[5, 5]).choose() == "near-0"
+    assert ManyPeers(near=[4], away=[]).choose() == "near-0"
 
 
-def test_crowd_with_full_targets_refuses():
-    """No slot is free anywhere."""
-    assert Crowd(near=[5], away=[5]).choose().reason == Reason.OVERLOADED
+def test_full_targets_in_all_domains_refuse():
+    """Requests are refused if no target of any domain has a free slot."""
+    assert ManyPeers(near=[5], away=[5]).choose().reason == Reason.OVERLOADED
 
 
-def test_group_that_stands_still_is_passed_over():
-    """Symptom: 40 requests wait in a group that is held, with free slots in another."""
+def test_stalled_group_is_avoided():
+    """Guards against 40 requests waiting in a stalled group while another has slots."""
     parts = Parts(entry("a-1"), entry("a-2"), entry("b-1"))
     parts.choice.group_of = lambda instance_id: instance_id[0]
     for target in ("a-1", "a-2"):
@@ -317,9 +317,9 @@
 
 
 def test_listed_target_without_slots_breaks_nothing():
-    """Symptom: every request to a service ends with a closed connection.
+    """Guards against a closed connection for every request to a service.
 
-    Events: all ranks of a group are listed with 0 slots.
+    This happened when all ranks of a group were listed with 0 slots.
     """
     parts = Parts(entry("a-1", slots=0), entry("a-2", slots=0))
     parts.choice.group_of = lambda instance_id: instance_id[0]
@@ -327,11 +327,11 @@
 
 
 def test_group_that_has_just_declined_is_not_asked_again():
-    """Symptom: a service gets more repeats than it may, and none is served.
+    """Guards against retries beyond the budget, none of which is served.
 
-    Events: a rank is cut off, so that all ranks of the only group decline.  Cause: a
-    request that one of them had declined was sent to the next one.  Further requests
-    still try one rank each, which shows at once when the group is back.
+    When a rank is cut off, all ranks of the only group decline, and a request declined
+    by one rank was sent to the next one.  New requests still try one rank each, which
+    detects immediately when the group has recovered.
     """
     parts = Parts(entry("a-1"), entry("a-2"), entry("a-3"))
     parts.choice.group_of = lambda instance_id: instance_id[0]
@@ -345,20 +345,20 @@
 
 
 def test_failing_target_is_tried_if_there_is_no_other():
-    """All targets of a service fail: one of them may be back, and nobody else tells."""
+    """If all targets of a service fail, only a request can detect a recovery."""
     parts = Parts(entry("i-1"))
     parts.health.failed("i-1", "reset")
     assert parts.choose() == "i-1"
 
 
 def request_backoff(parts, target, wait_s):
-    """Let a target request back-off in an answer that comes now."""
+    """Record an answer of a target that requests back-off."""
     now_s = parts.clock.monotonic_s()
     parts.backoffs.note_answer(target, now_s, StatedBackoff(wait_s))
 
 
 def test_backed_off_target_is_not_chosen_though_all_others_fail():
-    """A target that wants no request must not be the better try than none."""
+    """A target in back-off gets no request even if all other targets fail."""
     backed_off, failing = entry("i-1"), entry("i-2")
     parts = Parts(backed_off, failing)
     request_backoff(parts, backed_off, 3.0)
@@ -366,8 +366,8 @@
     assert {parts.choose() for _ in range(20)} == {"i-2"}
 
 
-def test_callers_of_backed_off_targets_are_told_when_the_first_one_returns():
-    """A caller that came back at another time met the back-off, or waited in vain."""
+def test_retry_delay_ends_with_the_first_back_off():
+    """Retries at other times meet the back-off or are later than necessary."""
     first, second = entry("i-1"), entry("i-2")
     parts = Parts(first, second)
     request_backoff(parts, first, 3.0)
@@ -383,7 +383,7 @@
 
 
 def test_last_try_of_a_request_goes_to_a_target_that_has_answered():
-    """A request that could go nowhere else was spent on the end of a back-off."""
+    """The last attempt of a request must not probe a target after its back-off."""
     returning, busy = entry("i-1"), entry("i-2")
     parts = Parts(returning, busy, entry("i-3"))
     request_backoff(parts, returning, 1.0)
@@ -394,7 +394,7 @@
 
 
 def test_target_that_has_declined_gets_a_request_only_if_the_others_are_full():
-    """A target that declines at once looks idle, and was chosen before others."""
+    """A target that declines immediately looks idle, and was preferred for that."""
     declining, busy = entry("i-1"), entry("i-2")
     parts = Parts(declining, busy)
     parts.avoided.declined("i-1")
@@ -407,7 +407,7 @@
 
 
 def test_target_that_has_declined_goes_before_one_that_fails():
-    """A failing target may have run what it lost; one that declines has not."""
+    """A failing target may have run a lost request; a declining one has not."""
     parts = Parts(entry("i-1"), entry("i-2"))
     parts.avoided.declined("i-1")
     parts.health.failed("i-2", "status 500")
@@ -415,7 +415,10 @@
 
 
 def test_request_that_is_released_at_a_pace_may_have_the_last_slot():
-    """Symptom: requests wait while slots are free, for fear of what peers send."""
+    """Guards against requests that wait although the last slots are free.
+
+    These slots are reserved for requests of peers; paced requests account for them.
+    """
     parts = Parts(entry("i-1", slots=20))
     for _ in range(19):
         parts.loads.started("i-1")
@@ -427,18 +430,18 @@
     assert isinstance(parts.choice.choose(request, set()), End)
 
 
-def test_crowded_domain_leaves_its_slow_target():
-    """Entries of a domain sent to the slow target there, as it was the nearest one."""
-    crowd = Crowd(near=[1], away=[1, 1])
-    told = {"near-0": SpeedStatement(6.0, 15.0, age_s=0.1)}
-    crowd.load_control.speeds.peers = SimpleNamespace(speeds=lambda: told)
-    assert {crowd.choose() for _ in range(20)} == {"away-0", "away-1"}
+def test_slow_target_is_avoided_for_other_domains():
+    """Hosts sent to a slow target because it was the only one in their domain."""
+    many_peers = ManyPeers(near=[1], away=[1, 1])
+    speeds = {"near-0": SpeedStatement(6.0, 15.0, age_s=0.1)}
+    many_peers.load_control.speeds.peers = SimpleNamespace(speeds=lambda: speeds)
+    assert {many_peers.choose() for _ in range(20)} == {"away-0", "away-1"}
 
 
 def test_slow_target_is_chosen_for_a_request_that_only_it_may_get():
-    """A request that was declined elsewhere was refused instead."""
+    """A request was refused although a slow target could still serve it."""
     parts = Parts(entry("i-1"), entry("i-2"), entry("i-3"))
-    told = {"i-3": SpeedStatement(6.0, 15.0, age_s=0.1)}
-    parts.load_control.speeds.peers = SimpleNamespace(speeds=lambda: told)
+    speeds = {"i-3": SpeedStatement(6.0, 15.0, age_s=0.1)}
+    parts.load_control.speeds.peers = SimpleNamespace(speeds=lambda: speeds)
     assert {parts.choose() for _ in range(20)} == {"i-1", "i-2"}
     assert parts.choose(tried=["i-1", "i-2"]) == "i-3"
--- a/siskinthread/gateway/tests/test_target_end.py
+++ b/siskinthread/gateway/tests/test_target_end.py
@@ -1,4 +1,4 @@
-"""Telling a target that has ended from one that only broke an exchange off."""
+"""Distinction of an ended target from one that only broke off an exchange."""
 
 import socket
 
@@ -11,7 +11,7 @@
 
 
 class Listener:
-    """A target that accepts connections only when the test says so."""
+    """A target whose listener the test controls."""
 
     def __init__(self):
         self._socket = socket.socket()
@@ -21,51 +21,51 @@
         self.entry.port = self._socket.getsockname()[1]
 
     async def end_after(self, wait_s):
-        """Close the listener; what waits to be accepted is reset."""
+        """Close the listener, which resets connections that are not accepted yet."""
         await curio.sleep(wait_s)
         self._socket.close()
 
     async def reset_one_after(self, wait_s):
-        """Accept a connection and reset it, and go on listening."""
+        """Accept a connection, reset it, and continue to listen."""
         await curio.sleep(wait_s)
         accepted, _ = self._socket.accept()
         accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         accepted.close()
 
 
-def look(settings, *actions):
-    """Return whether a target is found to have ended, beside what it does."""
+def check_ended(settings, *actions):
+    """Return the result of `has_ended` while a target runs the given actions."""
 
     async def main():
         listener = Listener()
         async with curio.TaskGroup(wait=all) as group:
             for action, wait_s in actions:
                 await group.spawn(action, listener, wait_s)
-            looking = await group.spawn(has_ended, listener.entry, settings)
-        return looking.result
+            checking = await group.spawn(has_ended, listener.entry, settings)
+        return checking.result
 
     return curio.run(main)
 
 
 @pytest.mark.parametrize("wait_s", [0.0, 0.001, 0.003])
 def test_target_whose_connections_end_before_its_listener_has_ended(wait_s):
-    """A request ended a third target, after two of its tries should have been enough.
-
-    A process that exits closes its connections before its listener: of 40 stand-ins
-    that ended under a request, 3 still took a new connection just after that, 20 of 40
-    beside busy processes, and reset it 0.04 ms to 0.13 ms later.  A look at that moment
-    took the target for one that goes on, so that its end was not counted: of four tries
-    the first and the third had ``target ended under a request``, the second, answered
-    502 within 18 ms between them, had not, and the third was let through.
+    """An uncounted end of a target let a request end a third target instead of two.
+
+    An exiting process closes its connections before its listener: of 40 targets that
+    ended under a request, 3 still accepted a new connection just afterwards, 20 of 40
+    on a busy machine, and reset it 0.04 ms to 0.13 ms later.  A single check at that
+    moment finds the target alive.  The second of four tries, answered with 502 within
+    18 ms, was not logged as ``target ended under a request`` for this reason, so the
+    third was sent.
     """
-    assert look(GatewaySettings(), (Listener.end_after, wait_s))
+    assert check_ended(GatewaySettings(), (Listener.end_after, wait_s))
 
 
 def test_target_that_goes_on_listening_has_not_ended():
-    """One that broke off a single exchange is not counted."""
-    assert not look(GatewaySettings())
+    """A target that broke off a single exchange must not count as ended."""
+    assert not check_ended(GatewaySettings())
 
 
 def test_target_that_resets_a_connection_and_goes_on_has_not_ended():
-    """One that has too many connections resets the look itself."""
-    assert not look(GatewaySettings(), (Listener.reset_one_after, 0.001))
+    """A target with too many connections may reset the connection of the check."""
+    assert not check_ended(GatewaySettings(), (Listener.reset_one_after, 0.001))
--- a/siskinthread/gateway/tests/test_waiting_room.py
+++ b/siskinthread/gateway/tests/test_waiting_room.py
@@ -1,4 +1,4 @@
-"""Requests that wait at the host while no target can take them."""
+"""Requests that wait at a host while no target can take them."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 def request_to(clock, left_s, priority=1):
-    """Return a request that comes now."""
+    """Return a request that arrives now."""
     route = build_route("a.example", "/")
     route.priority = priority
     return GatewayRequest(
@@ -41,23 +41,23 @@
 
 
 class FakeOutages:
-    """Reports of groups that the test writes."""
+    """Reports of outages that the test sets."""
 
     def __init__(self):
         self.began_at_s = None
         self.callbacks = []
 
     def service_outage(self, service_name):
-        """Return the outage of the one service."""
+        """Return the outage of the service, or None."""
         return None if self.began_at_s is None else self
 
     def listen(self, callback):
-        """Take a callback for groups that open."""
+        """Register a callback for groups that recover."""
         self.callbacks.append(callback)
 
 
 class Host:
-    """A waiting room on the system's clock, whose outages the test writes."""
+    """A waiting room on the system clock, whose outages the test sets."""
 
     def __init__(self, **waiting):
         self.parts = GatewayParts(
@@ -75,29 +75,29 @@
         self.outages = self.room.outages = FakeOutages()
 
     def break_group(self):
-        """Let reports say that the group has just broken."""
+        """Report the group as broken from now on."""
         self.outages.began_at_s = SYSTEM_CLOCK.monotonic_s()
 
     def open_group(self):
-        """Let reports say that the group is open."""
+        """Report the group as recovered."""
         self.outages.began_at_s = None
         for callback in self.outages.callbacks:
             callback("g")
 
     async def serve(self, priority=1, left_s=8.0):
-        """Return what a request that comes now gets: a target or an end."""
+        """Return the target or the refusal of a request that arrives now."""
         request = request_to(SYSTEM_CLOCK, left_s, priority)
-        came_at_s = SYSTEM_CLOCK.monotonic_s()
-        chosen = self.room.choose(request, set(), came_at_s)
+        arrived_at_s = SYSTEM_CLOCK.monotonic_s()
+        chosen = self.room.choose(request, set(), arrived_at_s)
         if isinstance(chosen, End):
-            chosen = await self.room.wait(request, set(), came_at_s, chosen)
+            chosen = await self.room.wait(request, set(), arrived_at_s, chosen)
         if not isinstance(chosen, End):
             self.parts.loads.started(chosen.instance_id)
         return chosen
 
 
 def in_outage(scenario, **waiting):
-    """Run a scenario with a host whose group is broken and whose tasks run."""
+    """Run a scenario with a host whose group is broken."""
 
     async def run():
         host = Host(**waiting)
@@ -112,11 +112,11 @@
 
 
 @pytest.mark.parametrize("down_s", [0.8, 1.4, 2.6, 4.0])
-def test_group_is_down_for_some_seconds(down_s):
-    """Symptom: streams that come in an outage are declined and come back too early.
+def test_requests_wait_out_an_outage_of_some_seconds(down_s):
+    """Guards against refusing requests in an outage whose callers retry too early.
 
-    Guards against refusing what could wait, and against sending it while the group
-    still declines.
+    Requests that can wait must neither be refused nor be sent while the group still
+    declines.
     """
     served, served_at_first = {}, {}
     for is_enabled in (False, True):
@@ -135,7 +135,7 @@
 
 
 def test_waiting_requests_go_when_the_group_opens():
-    """Symptom: requests wait on after the group has opened; urgent ones go last."""
+    """Guards against waits after the group has recovered, and wrong priorities."""
 
     async def scenario(host):
         order = []
@@ -157,7 +157,7 @@
 
 
 def test_wait_that_ends_is_a_refusal_as_not_run():
-    """Symptom: a request waits beyond its limit, or its refusal is not true."""
+    """Guards against waits beyond the limit, and wrong outcomes after them."""
 
     async def scenario(host):
         began_at_s = SYSTEM_CLOCK.monotonic_s()
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize("event", ["drain", "targets lost", "host ends"])
 def test_waiting_requests_are_settled(event):
-    """Symptom: requests wait on at a host that drains or ends, or for no target."""
+    """Guards against waits at a host that drains or ends, or without any target."""
 
     async def scenario(host):
         task = await curio.spawn(host.serve)
@@ -195,8 +195,8 @@
     in_outage(scenario)
 
 
-def test_caller_that_leaves_is_forgotten():
-    """Symptom: a target is chosen for a request whose caller has left."""
+def test_caller_that_disconnects_is_removed():
+    """Guards against choosing a target for a request whose caller disconnected."""
 
     async def scenario(host):
         left = await curio.spawn(host.serve, 0)
@@ -212,7 +212,7 @@
 
 
 def test_places_are_bounded_and_urgent_requests_take_them():
-    """Symptom: waiting requests fill the memory, or shut out urgent ones."""
+    """Guards against waiting requests that exhaust memory or block urgent ones."""
 
     async def scenario(host):
         usual = [await curio.spawn(host.serve, 2) for _ in range(2)]
@@ -231,7 +231,7 @@
 
 
 def test_all_hosts_release_into_the_same_slots():
-    """Symptom: each host sends all that waits to the same free slots."""
+    """Guards against hosts that all send their waiting requests to the same slots."""
     clock = ManualClock()
     loads = TargetLoads(settings(), clock)
     loads.peers = FakePeers(3)
@@ -248,7 +248,7 @@
 
 
 def test_one_request_tests_targets_that_all_fail():
-    """Symptom: all requests go to a service whose targets have just failed."""
+    """Guards against sending all requests to targets that have just failed."""
     parts = GatewayParts(
         settings(), "a", None, ManualClock(), Metrics(), random.Random(1)
     )
@@ -263,7 +263,7 @@
     test, chosen = choose()
     assert chosen.instance_id == "i-0"
     parts.clock.advance(1.0)
-    # Its caller may leave before it is sent.
+    # The caller may disconnect before the request is sent.
     room.note_attempt_over(test)
     parts.health.failed("i-0", "status 500")
     test, chosen = choose()
@@ -277,17 +277,17 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_burst_of_less_urgent_requests(seed):
-    """Symptom: urgent requests are refused like the burst that fills the slots."""
+    """Guards against refusing urgent requests in a burst of less urgent ones."""
     prompt = {}
     for is_enabled in (False, True):
-        drawn = random.Random(seed)
+        rng = random.Random(seed)
         calls = []
         for rate_per_s, priority, begin_s, end_s in ((24, 0, 0, 12), (240, 2, 4, 9)):
             at_s = begin_s
             while at_s < end_s:
-                at_s += drawn.expovariate(rate_per_s)
+                at_s += rng.expovariate(rate_per_s)
                 calls.append(Call(at_s, 8.0, priority))
-        # Slots that are reserved for them guard against it as well.
+        # Reserved slots for urgent requests have the same effect, so disable both.
         sections = {
             "waiting": WaitingSettings(is_enabled=is_enabled),
             "returns": ReturnSettings(is_enabled=is_enabled),
@@ -306,8 +306,8 @@
     assert prompt[True] >= 0.95
 
 
-def test_requests_of_one_priority_don_t_wait_for_slots():
-    """Symptom: a full service makes all requests wait and so all of them late."""
+def test_requests_of_one_priority_do_not_wait_for_slots():
+    """Guards against a full service that delays all requests beyond their objective."""
     for priorities, is_waiting in (((1,), False), ((1, 2), True)):
         replay = Replay(settings(), 1, 1, 0.2)
         calls = [Call(0.02, 8.0, priority) for priority in (*priorities, *priorities)]
@@ -317,7 +317,7 @@
 
 
 def test_refusal_states_its_cause(caplog):
-    """Symptom: nothing tells why a request was refused and when it was to return."""
+    """Guards against refusals without their cause and retry delay in the log."""
     metrics = Metrics()
     parts = GatewayParts(
         settings(), "a", None, ManualClock(), metrics, random.Random(1)
