--- a/siskinthread/gateway/_target_refusal.py
+++ b/siskinthread/gateway/_target_refusal.py
@@ -14,16 +14,16 @@
         Reason that is sent to the caller.
     message : str
         Explanation in one sentence.
-    decide_return : callable
+    decide_delay_s : callable
         Returns how long the caller should wait before it retries, seconds.  Called
         once, when the refusal is written: a request that waits first must not book a
         return.
     """
 
-    __slots__ = ("_decide_return", "_retry_after_s", "cause")
+    __slots__ = ("_decide_delay_s", "_retry_after_s", "cause")
 
-    def __init__(self, cause, reason, message, decide_return):
-        self._decide_return = decide_return
+    def __init__(self, cause, reason, message, decide_delay_s):
+        self._decide_delay_s = decide_delay_s
         self._retry_after_s = None
         super().__init__(Outcome.REFUSED_NOT_RUN, reason, message)
         self.cause = cause
@@ -32,7 +32,7 @@
     def retry_after_s(self):
         """How long the caller should wait, seconds; decided on the first read."""
         if self._retry_after_s is None:
-            self._retry_after_s = self._decide_return()
+            self._retry_after_s = self._decide_delay_s()
         return self._retry_after_s
 
     @retry_after_s.setter
--- a/siskinthread/gateway/tests/connection_replay.py
+++ b/siskinthread/gateway/tests/connection_replay.py
@@ -76,7 +76,7 @@
         The settings under test.
     idle_s : float
         Idle time-out of connections, seconds.
-    grouped : callable or None
+    group_of : callable or None
         Returns the group of a target by its entry; None for no groups.
     target_count : int
         Number of ranks, with 5 slots each.
