--- a/siskinthread/gateway/_attempt.py
+++ b/siskinthread/gateway/_attempt.py
@@ -304,7 +304,7 @@
         if parts.backoffs.is_backed_off(instance_id) or parts.targets.has_left(
             instance_id
         ):
-            self.reason = "the target requested back-off or leaves since it was chosen"
+            self.reason = "the target wants no more requests since it was chosen"
             return False
         if not self._permit.may_be_written():
             self.reason = "the target is cold, and this host's quota of it is used"
@@ -411,12 +411,12 @@
                 break
             events = splitter.take(data)
             if not self._budget_share.hold(len(splitter.rest)):
-                self._mark_lost("the memory budget has no room for an incomplete event")
+                self._mark_lost("no memory is left for the rest of an event")
                 return
             if events is None:
                 continue
             if not self._continues(events):
-                self._mark_lost("the event ids have a gap")
+                self._mark_lost("the events have a gap")
                 return
             if not self._reply.has_begun:
                 await self._reply.begin(head)
@@ -431,7 +431,7 @@
                 self.result = AttemptResult.LEFT
                 return
         if splitter.rest:
-            self._mark_lost("the stream ended in the middle of an event")
+            self._mark_lost("the stream ended within an event")
             self.is_broken_off = True
             return
         if await self._ended_with_target(head):
@@ -456,7 +456,7 @@
             return False
         if not await has_ended(self.entry, self._parts.settings):
             return False
-        self._mark_lost("the target process ended during an answer without a length")
+        self._mark_lost("the target ended with an answer that has no length")
         self.is_broken_off = True
         return True
 
--- a/siskinthread/gateway/_target_connection.py
+++ b/siskinthread/gateway/_target_connection.py
@@ -162,7 +162,7 @@
         try:
             await curio.timeout_after(deadline.left_s(), self._send_all, data)
         except curio.TaskTimeout as error:
-            raise TargetError("the target did not read the request in time") from error
+            raise TargetError("the target takes no bytes") from error
         except OSError as error:
             raise ConnectionLostError(f"writing failed: {error!r}") from error
 
@@ -212,7 +212,7 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise TargetError("the body of the answer is incomplete")
+        raise TargetError("the answer broke off")
 
     def send_rate(self, now_s, least_s):
         """Return the rate at which a large body is sent, bytes per second.
@@ -346,7 +346,7 @@
     def _expect_answer_again(self):
         """Prepare to read the next answer after that to another request."""
         if self._http.their_state is not h11.DONE:
-            raise TargetError("the connection ended with the answer to another request")
+            raise TargetError("the connection ends with another request's answer")
         rest = self._http.trailing_data[0]
         self._http = self._new_http()
         # The request is already sent; encoding it again only sets the state of h11.
@@ -370,7 +370,7 @@
                 deadline.left_s(), self._socket.recv, RECEIVE_SIZE_BYTES
             )
         except curio.TaskTimeout as error:
-            raise TargetSilentError("no data arrived until the deadline") from error
+            raise TargetSilentError("silent past the limit") from error
         except OSError as error:
             self.is_unacknowledged = error.errno in UNREACHABLE_ERRNOS
             raise TargetError(f"connection failed: {error!r}") from error
