--- a/siskinthread/target_limits/__init__.py
+++ b/siskinthread/target_limits/__init__.py
@@ -1,16 +1,21 @@
-"""What targets in need ask for: a rate for all entries together, or back-off from one.
+"""Limits, back-off requests and cold starts of targets.
 
-Interface: ``TargetLimits(settings, clock, random)``; ``note_answer(entry, sent_at_s,
-stated)`` takes what an answer states, ``note_asked(service_name, priority)`` each
-request of a caller, ``admitted(entries, service_name, priority)`` tells which targets
-may get a request now and ``note_sent(instance_id)`` that one gets it.  Entries tell one
-another its ``statements()`` and ``asked_rates()``; ``hear(statements, told_by)`` takes
-the former, ``peers`` tells the latter.  ``TargetBackoffs(settings, clock, random)``
-takes answers the same way; what it knows concerns this entry alone.
+A target in overload states a rate limit for all hosts together, or requests back-off
+from one host.
 
-``ColdTargets(settings, clock, random)`` bounds what targets get that are cold after a
-start: ``note_entry``, ``note_answer`` and ``note_failure`` tell it what shows that,
-``admitted(entries, service_name, is_urgent)`` tells which targets have a place, and
+`TargetLimits` keeps the rate limits.  ``note_answer(entry, sent_at_s, stated)`` takes
+the statement of an answer, ``note_asked(service_name, priority)`` counts a caller's
+request, ``admitted(entries, service_name, priority)`` returns the targets that may get
+a request now, and ``note_sent(instance_id)`` counts a request that is sent.  Hosts
+exchange ``statements()`` and ``asked_rates()``: ``hear(statements, source)`` applies
+the statements of a peer, and ``peers`` provides the request rates of the peers.
+
+`TargetBackoffs` takes answers in the same way; a back-off applies
+only to the host from which it was requested.
+
+`ColdTargets` limits the requests to targets that are cold after a start:
+``note_entry``, ``note_answer`` and ``note_failure`` detect cold targets,
+``admitted(entries, service_name, is_urgent)`` returns the targets with a free slot, and
 ``take(entry)`` returns the permit of a request.
 """
 
--- a/siskinthread/target_limits/_backoff.py
+++ b/siskinthread/target_limits/_backoff.py
@@ -1,28 +1,28 @@
-"""The back-off of one target, and how this entry comes back to it."""
+"""The back-off of one target, and the gradual return of requests after it."""
 
 
 class Backoff:
-    """A back-off that a target has asked this entry for, and the return after it.
+    """A back-off that a target has requested from this host, and the return after it.
 
     Parameters
     ----------
     instance_id, service_name : str
         The target and its service.
     end : siskinthread.timing.Deadline
-        When the back-off is over.
+        When the back-off ends.
 
     Attributes
     ----------
     end : siskinthread.timing.Deadline
-        When the back-off is over.
+        When the back-off ends.
     count : int
-        Back-offs without a good answer between them.
-    place_count : int
-        Requests that the target may get without a further answer, after its back-off.
+        Consecutive back-offs without a successful answer between them.
+    allowed_count : int
+        Requests that the target may get after its back-off before it answers again.
     answer_count : int
-        Good answers since the end of the back-off.
-    next_try : siskinthread.timing.Deadline or None
-        When another request may be sent although none has been answered.
+        Successful answers since the end of the back-off.
+    next_retry : siskinthread.timing.Deadline or None
+        When another request may be sent although none was answered.
     """
 
     __slots__ = (
@@ -30,8 +30,8 @@
         "count",
         "end",
         "instance_id",
-        "next_try",
-        "place_count",
+        "next_retry",
+        "allowed_count",
         "service_name",
     )
 
@@ -40,53 +40,53 @@
         self.service_name = service_name
         self.end = end
         self.count = 1
-        self._begin_return()
+        self._begin_recovery()
 
-    def prolong(self, end):
-        """Take a further back-off; the latest end counts.
+    def extend(self, end):
+        """Apply a further back-off; the latest end counts.
 
         Returns
         -------
         bool
-            Whether it begins a back-off after one that was over.
+            Whether a new back-off begins, because the last one had ended.
         """
         was_over = self.end.passed()
         if end.at_s > self.end.at_s:
             self.end = end
         if was_over:
             self.count += 1
-            self._begin_return()
+            self._begin_recovery()
         return was_over
 
     def left_s(self):
         """Return the time until the target may get a request, seconds."""
         if not self.end.passed():
             return self.end.left_s()
-        if self.place_count > 0 or self.next_try is None:
+        if self.allowed_count > 0 or self.next_retry is None:
             return 0.0
-        return max(0.0, self.next_try.left_s())
+        return max(0.0, self.next_retry.left_s())
 
     def is_open(self):
         """Return whether the target may get a request now."""
         if not self.end.passed():
             return False
-        return self.place_count > 0 or self.next_try.passed()
+        return self.allowed_count > 0 or self.next_retry.passed()
 
-    def is_proved(self):
+    def is_confirmed(self):
         """Return whether the target has answered since its back-off."""
         return self.answer_count > 0
 
-    def note_sent(self, next_try):
-        """Take away the place of a request that is sent."""
-        self.place_count = max(0, self.place_count - 1)
-        self.next_try = next_try
+    def note_sent(self, next_retry):
+        """Use a slot for a request that is sent."""
+        self.allowed_count = max(0, self.allowed_count - 1)
+        self.next_retry = next_retry
 
     def note_answered(self):
-        """Open two places for the one that was answered."""
+        """Free the slot of the answered request and add one."""
         self.answer_count += 1
-        self.place_count += 2
+        self.allowed_count += 2
 
-    def _begin_return(self):
-        self.place_count = 1
+    def _begin_recovery(self):
+        self.allowed_count = 1
         self.answer_count = 0
-        self.next_try = None
+        self.next_retry = None
--- a/siskinthread/target_limits/_backoffs.py
+++ b/siskinthread/target_limits/_backoffs.py
@@ -1,4 +1,4 @@
-"""The targets that have requested back-off of this entry."""
+"""The targets that have requested back-off from this host."""
 
 from siskinthread.observability import part_logger
 from siskinthread.target_limits._backoff import Backoff
@@ -6,12 +6,12 @@
 from siskinthread.timing import Deadline
 
 _logger = part_logger("target_limits")
-# Longest text of a header that goes into the log.
-TEXT_LIMIT = 80
+# Maximum length of a header text in a log line.
+TEXT_LIMIT_CHARS = 80
 
 
 class TargetBackoffs:
-    """Which targets want no request from this entry, and how it comes back to them.
+    """Which targets are backed off, and how requests to them resume.
 
     Parameters
     ----------
@@ -20,18 +20,18 @@
     clock : siskinthread.timing.Clock
         Clock of the back-offs.
     random : random.Random
-        Spreads the return of callers.
+        Spreads the retry times of refused callers.
 
     Notes
     -----
-    A back-off is kept by instance and not by list entry: a target that vanishes from
-    the list and is listed again stays backed off, and one that has started anew does
-    not.
+    A back-off belongs to an instance and not to a list entry: a target that vanishes
+    from the list and is listed again stays backed off, and a restarted target is not
+    backed off.
     """
 
     __slots__ = (
         "_clock",
-        "_next_return_s",
+        "_next_retry_at_s",
         "_random",
         "_backoffs",
         "_settings",
@@ -43,13 +43,13 @@
         self._clock = clock
         self._random = random
         self._backoffs = {}
-        # Targets whose unreadable time was logged.
+        # Targets whose unreadable back-off was logged.
         self._unreadable = set()
-        # When the caller that was refused last was asked to come back, by service.
-        self._next_return_s = {}
+        # Earliest retry time of the next refused caller, monotonic seconds, by service.
+        self._next_retry_at_s = {}
 
     def note_answer(self, entry, sent_at_s, stated):
-        """Take what an answer of a target states.
+        """Apply the back-off that an answer of a target requests.
 
         Parameters
         ----------
@@ -58,7 +58,7 @@
         sent_at_s : float
             When its request was sent, monotonic seconds.
         stated : StatedBackoff
-            The statement.
+            The back-off.
         """
         if stated.unreadable is not None:
             self._log_unreadable(entry, stated)
@@ -70,76 +70,78 @@
             self._note_good_answer(backoff, entry.slot_count)
 
     def is_backed_off(self, instance_id):
-        """Return whether a target wants no request now."""
+        """Return whether a target is backed off now."""
         backoff = self._backoffs.get(instance_id)
         return backoff is not None and not backoff.end.passed()
 
     def admitted(self, entries, may_try):
-        """Return those of some targets that may get a request now.
+        """Return the targets that may get a request now.
 
         Parameters
         ----------
         entries : list of siskinthread.gateway.TargetEntry
-            The targets.
+            The targets to choose from.
         may_try : bool
-            Whether the request can go elsewhere if its target declines it.  One that
-            can't goes to a target that has not answered since its back-off only if
-            there is no other.
+            Whether the request can go to another target if this one declines it.  If
+            not, targets that have not answered since their back-off are returned only
+            if there are no others.
         """
         if not self._backoffs:
             return entries
-        open_ones = []
-        proved = []
+        open_entries = []
+        confirmed = []
         for entry in entries:
             backoff = self._backoffs.get(entry.instance_id)
             if backoff is None or backoff.is_open():
-                open_ones.append(entry)
-                if backoff is None or backoff.is_proved():
-                    proved.append(entry)
-        return open_ones if may_try else proved or open_ones
+                open_entries.append(entry)
+                if backoff is None or backoff.is_confirmed():
+                    confirmed.append(entry)
+        return open_entries if may_try else confirmed or open_entries
 
     def note_sent(self, instance_id):
-        """Note that a target gets a request."""
+        """Count a request that is sent to a target."""
         backoff = self._backoffs.get(instance_id)
         if backoff is not None:
             wait_s = self._settings.try_wait_s
             backoff.note_sent(Deadline.after(self._clock, wait_s))
 
     def come_back_after_s(self, entries, asked_per_s, longest_s):
-        """Return when a caller that was refused for back-off should return, seconds.
+        """Return when a caller that was refused for back-off should retry, seconds.
 
         Parameters
         ----------
         entries : list of siskinthread.gateway.TargetEntry
             Backed-off targets of one service.
         asked_per_s : float
-            Requests a second that callers ask this entry for; those who come back are
-            spread at that rate.
+            Requests a second of the callers of this host; retries are spread at this
+            rate.
         longest_s : float
-            Time within which callers are spread, unless the back-off lasts longer.
+            Time within which retries are spread, unless the back-off lasts longer.
         """
         service_name = entries[0].service_name
         now_s = self._clock.monotonic_s()
         soonest_s = min(self._left_s(entry.instance_id) for entry in entries)
-        place_s = max(now_s + soonest_s, self._next_return_s.get(service_name, 0.0))
-        if place_s - now_s > max(soonest_s, longest_s):
-            # There are more than places: chance decides.
+        retry_at_s = max(
+            now_s + soonest_s, self._next_retry_at_s.get(service_name, 0.0)
+        )
+        if retry_at_s - now_s > max(soonest_s, longest_s):
+            # All slots until then are taken: choose a random time.
             spread_s = max(self._settings.spread_s, longest_s - soonest_s)
             return soonest_s + spread_s * self._random.random()
-        self._next_return_s[service_name] = place_s + 1 / max(1.0, asked_per_s)
-        return place_s - now_s
+        self._next_retry_at_s[service_name] = retry_at_s + 1 / max(1.0, asked_per_s)
+        return retry_at_s - now_s
 
     def describe(self, instance_id):
-        """Return what is believed of a target's back-off, for people."""
+        """Return the state of a target's back-off as a text for messages."""
         backoff = self._backoffs[instance_id]
         if backoff.end.passed():
             return f"{instance_id} has not answered since its back-off"
-        return f"{instance_id} wants no request for {backoff.end.left_s():.2f} s"
+        return f"{instance_id} is backed off for another {backoff.end.left_s():.2f} s"
 
     def statements(self):
-        """Return what peers should be told, a bounded number of `BackoffStatement`.
+        """Return a bounded number of `BackoffStatement` for the peers.
 
-        The back-offs that end last go first.
+        Back-offs that end latest come first.
         """
         backed_off = [
             backoff for backoff in self._backoffs.values() if not backoff.end.passed()
@@ -151,19 +153,19 @@
         ]
 
     def backed_off_count(self):
-        """Return the number of targets that want no request now."""
+        """Return the number of targets that are backed off now."""
         return sum(not backoff.end.passed() for backoff in self._backoffs.values())
 
     def drop_over(self):
-        """Forget back-offs after which a target has got no request for long."""
+        """Forget back-offs that ended more than `return_memory_s` ago."""
         now_s = self._clock.monotonic_s()
         memory_s = self._settings.return_memory_s
-        over = [
+        expired = [
             backoff
             for backoff in self._backoffs.values()
             if now_s - backoff.end.at_s > memory_s
         ]
-        for backoff in over:
+        for backoff in expired:
             del self._backoffs[backoff.instance_id]
         if len(self._unreadable) >= self._settings.targets_limit:
             self._unreadable.clear()
@@ -177,11 +179,11 @@
         backoff = self._backoffs.get(entry.instance_id)
         if backoff is None:
             if len(self._backoffs) >= self._settings.targets_limit:
-                self._drop_first_over()
+                self._drop_earliest()
             backoff = Backoff(entry.instance_id, entry.service_name, end)
             self._backoffs[entry.instance_id] = backoff
             name = "target requests back-off"
-        elif backoff.prolong(end):
+        elif backoff.extend(end):
             name = "target requests back-off again"
         else:
             name = "back-off of target prolonged"
@@ -194,7 +196,7 @@
             backoffs_in_a_row=backoff.count,
         )
 
-    def _drop_first_over(self):
+    def _drop_earliest(self):
         first = min(self._backoffs.values(), key=lambda backoff: backoff.end.at_s)
         del self._backoffs[first.instance_id]
 
@@ -218,6 +220,6 @@
             "requested back-off is unreadable",
             target=entry.instance_id,
             limited_service=entry.service_name,
-            text=stated.unreadable[:TEXT_LIMIT],
+            text=stated.unreadable[:TEXT_LIMIT_CHARS],
             taken_for_s=stated.wait_s,
         )
--- a/siskinthread/target_limits/_cold.py
+++ b/siskinthread/target_limits/_cold.py
@@ -16,26 +16,26 @@
     __slots__ = ()
 
     def may_be_written(self):
-        """Allow it."""
+        """Return True."""
         return True
 
     def written(self):
-        """Note nothing."""
+        """Do nothing."""
 
     def release(self):
-        """Give nothing back."""
+        """Do nothing."""
 
 
 FREE_PERMIT = FreePermit()
 
 
 class Permit:
-    """A request's place at a target, from its choice until it has been written.
+    """Slot of a request at a target, from the choice of the target to the write.
 
     Parameters
     ----------
     cold : ColdTargets
-        Counts the places.
+        Counts the slots.
     target : ColdTarget
         The target.
     """
@@ -49,59 +49,59 @@
         target.held_count += 1
 
     def may_be_written(self):
-        """Return whether the request may still go to the target.
+        """Return whether the request may still be sent to the target.
 
-        The target may have become cold, or more hosts may have been heard of, since it
-        was chosen.
+        After the choice the target may have become cold, or this host may have learnt
+        of more hosts.
         """
-        return self._cold.has_place(self._target)
+        return self._cold.has_slot(self._target)
 
     def written(self):
-        """Count the request from now on as sent."""
+        """Count the request as sent."""
         if self._is_held:
             self.release()
             self._cold.note_sent(self._target)
 
     def release(self):
-        """Give the place back unless the request was written."""
+        """Free the slot unless the request was written."""
         if self._is_held:
             self._is_held = False
             self._target.held_count -= 1
 
 
 class ColdTargets:
-    """Keeps what all hosts send to a cold target within what it takes.
+    """Keeps the requests of all hosts to a cold target within a bound.
 
     Parameters
     ----------
     settings : ColdTargetSettings
-        The bound, and which part of it is used.
+        The bound, and which fraction of it is used.
     clock : siskinthread.timing.Clock
         Clock of the times.
     random : random.Random
-        Spreads the return of callers.
+        Spreads the retry times of refused callers.
 
     Attributes
     ----------
     peers : siskinthread.peer_news.PeerNews or None
-        Tells this host's place among all hosts; None if there are no others.
+        Provides this host's position among all hosts; None if there are no others.
     evacuations : object or None
         Its ``taken_back_s_ago(domain)`` returns the seconds since a failure domain was
         taken back after an evacuation, or None.
 
     Notes
     -----
-    Each host has a quota by its place in an order of all hosts that it has ever heard
-    of.  The quotas add up to less than the bound, so that no host needs to hear of the
-    others' requests.  A request takes up a place from its choice until a window after
-    it was written, whatever happens between.
+    Each host has a quota by its position in an order of all hosts that it has ever
+    known.  The sum of the quotas is below the bound, so hosts need not report their
+    requests to each other.  A request occupies a slot from the choice of its target
+    until one window after it was written, whatever happens in between.
     """
 
     __slots__ = (
         "_clock",
-        "_maybe_cold",
-        "_next_return_s",
-        "_places",
+        "_cold_ids",
+        "_next_retry_at_s",
+        "_order_positions",
         "_random",
         "_rules",
         "_settings",
@@ -116,14 +116,14 @@
         self._random = random
         self._rules = {}
         self._targets = {}
-        # Ids of targets that were cold when that was last looked at; all others are
-        # warm unless their failure domain was taken back.
-        self._maybe_cold = set()
-        # Place of this host in the order for a target, by its id, and the number of
-        # hosts at which it was found.
-        self._places = {}
-        # When the caller that was refused last was asked to come back, by service.
-        self._next_return_s = {}
+        # Ids of targets that were cold at the last update; all others are warm unless
+        # their failure domain was taken back.
+        self._cold_ids = set()
+        # Position of this host in the order of a target and the number of hosts in
+        # that order, by target id.
+        self._order_positions = {}
+        # Last retry time given to a refused caller, monotonic seconds, by service.
+        self._next_retry_at_s = {}
         self.peers = None
         self.evacuations = None
 
@@ -133,40 +133,41 @@
         return self._settings.excess_ratio > 0
 
     def take_table(self, table):
-        """Take the rules of the services of a `siskinthread.gateway.RouteTable`."""
+        """Apply the rules of the services of a `siskinthread.gateway.RouteTable`."""
         self._rules = find_rules(table.services, self._settings)
         for target in self._targets.values():
             self._note_state(target, "configuration")
 
     def note_entry(self, entry, is_new=False):
-        """Take what a target's list entry states.
+        """Apply a target's list entry.
 
         Parameters
         ----------
         entry : siskinthread.gateway.TargetEntry
             The target.
         is_new : bool
-            Whether it was not in the list before, and this list is not the first.
+            Whether the target was missing in the previous list.  False for the first
+            list.
         """
         if not self.has_bound:
             return
         target = self._find(entry)
-        target.is_gone = False
+        target.is_unlisted = False
         now_s = self._clock.monotonic_s()
-        target.take_report(entry.report_number, entry.cold_left_s, now_s)
+        target.apply_report(entry.report_number, entry.cold_left_s, now_s)
         if is_new:
-            target.presume(now_s)
+            target.assume_cold(now_s)
         self._note_state(target, "list")
 
     def note_answer(self, entry, cold_left_s):
-        """Take an answer of a target, and for how long it says that it is cold.
+        """Apply an answer of a target and its stated cold time.
 
         Parameters
         ----------
         entry : siskinthread.gateway.TargetEntry
             The target.
         cold_left_s : float or None
-            Seconds; None if the answer does not say.
+            Remaining cold time, seconds; None if the answer states none.
         """
         target = self._targets.get(entry.instance_id)
         if target is None or entry.service_name not in self._rules:
@@ -174,19 +175,20 @@
         now_s = self._clock.monotonic_s()
         target.answered_at_s = now_s
         if cold_left_s is not None:
-            target.take_statement(cold_left_s, now_s)
+            target.apply_statement(cold_left_s, now_s)
         elif target.has_failed:
-            target.presume(now_s)
+            target.assume_cold(now_s)
         target.has_failed = False
         self._note_state(target, "answer")
 
-    def hear(self, statements, told_by):
-        """Take each `ColdStatement` of a peer.
+    def hear(self, statements, source):
+        """Apply each `ColdStatement` of a peer.
 
-        Only one host of a failure domain reads the list again if no target was added
-        to it, so that the others learn from it which one is cold again.  Hosts that
-        have not met a target while it was away take it to be warm when it is back:
-        with 38 hosts and 190 requests a second it got 20 in a second, of 12.5.
+        Only one host of a failure domain reads the list again unless a target was
+        added to it, so the other hosts learn from that host which target is cold again.
+        Hosts that sent no request to a target while it was away would treat it as warm
+        once it is back: 38 hosts with 190 requests a second sent it 20 requests in one
+        second, with a bound of 12.5.
         """
         now_s = self._clock.monotonic_s()
         for statement in statements:
@@ -194,25 +196,27 @@
             if target is None:
                 continue
             if statement.left_s > 0:
-                target.hear(statement.left_s, now_s)
-                self._note_state(target, told_by)
+                target.apply_peer_statement(statement.left_s, now_s)
+                self._note_state(target, source)
             if statement.failed_age_s is not None and self.peers is not None:
-                self._hear_failure(target, statement.failed_age_s, now_s, told_by)
+                self._apply_peer_failure(target, statement.failed_age_s, now_s, source)
 
-    def _hear_failure(self, target, age_s, now_s, told_by):
-        counts_s = self._settings.failure_told_s
-        if age_s >= counts_s:
+    def _apply_peer_failure(self, target, age_s, now_s, source):
+        valid_s = self._settings.failure_told_s
+        if age_s >= valid_s:
             return
-        domain = self.peers.domain_of(told_by)
+        domain = self.peers.domain_of(source)
         own_domain = self.peers.own_domain
-        if target.hear_failure(told_by, domain, own_domain, now_s - age_s, counts_s):
-            self._note_state(target, f"failure at {told_by}")
+        if target.apply_peer_failure(
+            source, domain, own_domain, now_s - age_s, valid_s
+        ):
+            self._note_state(target, f"failure at {source}")
 
     def statements(self):
-        """Return what peers should be told, a bounded number of `ColdStatement`.
+        """Return a bounded number of `ColdStatement` for the peers.
 
-        Those that are cold for longest go first, and behind them the failures, the
-        newest ones first.
+        Targets that are cold for longest come first, then the failures, the newest
+        ones first.
         """
         if not self._rules:
             return []
@@ -224,9 +228,9 @@
         ]
         stated.sort(key=lambda statement: -statement.left_s)
         limit = self._settings.told_limit
-        return stated[:limit] + self._failures(now_s)[:limit]
+        return stated[:limit] + self._failure_statements(now_s)[:limit]
 
-    def _failures(self, now_s):
+    def _failure_statements(self, now_s):
         failed = [
             ColdStatement(target.instance_id, 0.0, now_s - target.failed_at_s)
             for target in self._targets.values()
@@ -237,16 +241,16 @@
         return failed
 
     def note_failure(self, instance_id, silent_since_s=None):
-        """Note that a target failed, was unreachable or fell silent.
+        """Record that a target failed, was unreachable or did not answer.
 
         Parameters
         ----------
         instance_id : str
             The target.
         silent_since_s : float or None
-            When a request without an answer was sent, monotonic seconds.  A target
-            that has answered another one since is late and not silent.  None if the
-            target's side broke off.
+            When a request that was not answered was sent, monotonic seconds.  A target
+            that has answered another request since then is slow and has not failed.
+            None if the target closed the connection.
         """
         target = self._targets.get(instance_id)
         if target is None or target.service_name not in self._rules:
@@ -257,27 +261,27 @@
         self._note_state(target, "failure")
 
     def admitted(self, entries, service_name, is_urgent):
-        """Return those of some targets of a service that may get a request now.
+        """Return the targets of a service that may get a request now.
 
         Parameters
         ----------
         entries : list of siskinthread.gateway.TargetEntry
-            The targets.
+            The targets to choose from.
         service_name : str
             Their service.
         is_urgent : bool
-            Whether the request is of the most urgent rank that was asked for lately.
+            Whether the request has the most urgent recent priority.
         """
         if service_name not in self._rules:
             return entries
         domains = self._taken_back_domains(entries)
-        if not self._maybe_cold and not domains:
+        if not self._cold_ids and not domains:
             return entries
         return [
             entry
             for entry in entries
             if (
-                entry.instance_id not in self._maybe_cold
+                entry.instance_id not in self._cold_ids
                 and entry.failure_domain not in domains
             )
             or self._admits(self._find(entry), is_urgent)
@@ -286,15 +290,15 @@
     def take(self, entry):
         """Return the permit of a request that is sent to a target.
 
-        It must be taken right after the choice, and released at the end whether or not
-        the request was written.
+        It must be taken right after the choice of the target, and released at the end
+        whether or not the request was written.
         """
         if entry.service_name not in self._rules:
             return FREE_PERMIT
         return Permit(self, self._find(entry))
 
-    def has_place(self, target):
-        """Return whether a request that holds a place at a target may be written."""
+    def has_slot(self, target):
+        """Return whether a request that holds a slot at a target may be written."""
         if not self._is_cold(target):
             return True
         used_count = target.used_count(
@@ -303,30 +307,30 @@
         return used_count <= self._quota(target)
 
     def note_sent(self, target):
-        """Note that a request to a target was written."""
+        """Count a written request to a target."""
         rule = self._rules.get(target.service_name)
         if rule is not None:
             target.note_sent(self._clock.monotonic_s(), rule.usable_count)
 
     def cold_count(self):
-        """Return the number of targets that are taken to be cold."""
+        """Return the number of cold targets."""
         return sum(self._is_cold(target) for target in self._targets.values())
 
     def come_back_after_s(self, entries, longest_s):
-        """Return when a caller refused for quotas should come back, seconds.
+        """Return when a caller that was refused for quotas should retry, seconds.
 
         Parameters
         ----------
         entries : list of siskinthread.gateway.TargetEntry
             Cold targets of one service.
         longest_s : float
-            Longest wait that the caller keeps, seconds.
+            Longest time that the caller waits, seconds.
 
         Notes
         -----
-        Callers come back one behind the other at the rate that cold targets leave to a
-        host in the mean, as they may come to any; all at once when the first target is
-        not cold any more, for which nobody waits longer.
+        Callers get consecutive slots at the mean rate that cold targets leave to one
+        host, as callers may retry at any host.  No caller waits longer than until the
+        first target is warm.
         """
         now_s = self._clock.monotonic_s()
         targets = [self._find(entry) for entry in entries]
@@ -336,45 +340,48 @@
         )
         usable_count = len(targets) * self._rules[service_name].usable_count
         rate_per_s = usable_count / self._host_count() / self._settings.window_s
-        place_s = max(now_s + soonest_s, self._next_return_s.get(service_name, 0.0))
-        place_s += 1 / rate_per_s if rate_per_s else math.inf
+        retry_at_s = max(
+            now_s + soonest_s, self._next_retry_at_s.get(service_name, 0.0)
+        )
+        retry_at_s += 1 / rate_per_s if rate_per_s else math.inf
         warm_s = min(self._cold_left_s(target) for target in targets)
         longest_s = min(longest_s, warm_s) if warm_s > 0 else longest_s
-        if place_s - now_s > longest_s:
-            # There are more than can be served by then: chance decides.
+        if retry_at_s - now_s > longest_s:
+            # All slots until then are taken: choose a random time.
             return longest_s * (0.5 + 0.5 * self._random.random())
-        self._next_return_s[service_name] = place_s
-        return place_s - now_s
+        self._next_retry_at_s[service_name] = retry_at_s
+        return retry_at_s - now_s
 
     def describe(self, entry):
-        """Return what is believed of a cold target, for people."""
+        """Return the state of a cold target as a text for messages."""
         target = self._find(entry)
         used_count = target.used_count(
             self._clock.monotonic_s(), self._settings.window_s
         )
         return (
-            f"{target.instance_id} is cold for {self._cold_left_s(target):.2f} s, and "
-            f"{used_count} of the {self._quota(target)} requests a second are in use "
-            f"that this host, one of {self._host_count()}, may send it"
+            f"{target.instance_id} is cold for another "
+            f"{self._cold_left_s(target):.2f} s, and {used_count} of the "
+            f"{self._quota(target)} requests a second are in use that this host, one "
+            f"of {self._host_count()}, may send it"
         )
 
     def forget(self, instance_id):
-        """Note that a target gets no more requests."""
+        """Mark a target that gets no more requests."""
         target = self._targets.get(instance_id)
         if target is not None:
-            # What was sent lately counts on if the target is listed again.
-            target.is_gone = True
+            # Its recent requests still count if it is listed again.
+            target.is_unlisted = True
 
     def drop_over(self):
-        """Forget targets that are gone and have got no request lately."""
+        """Forget targets that are not listed and got no request within the window."""
         now_s = self._clock.monotonic_s()
         for target in list(self._targets.values()):
             self._note_state(target, "time")
             used_count = target.used_count(now_s, self._settings.window_s)
-            if target.is_gone and not used_count:
+            if target.is_unlisted and not used_count:
                 del self._targets[target.instance_id]
-                self._places.pop(target.instance_id, None)
-                self._maybe_cold.discard(target.instance_id)
+                self._order_positions.pop(target.instance_id, None)
+                self._cold_ids.discard(target.instance_id)
 
     def _find(self, entry):
         target = self._targets.get(entry.instance_id)
@@ -386,11 +393,11 @@
         if not self._is_cold(target):
             return True
         quota = self._quota(target)
-        kept_count = 1 if quota > 1 and not is_urgent else 0
+        reserved_count = 1 if quota > 1 and not is_urgent else 0
         used_count = target.used_count(
             self._clock.monotonic_s(), self._settings.window_s
         )
-        return used_count < quota - kept_count
+        return used_count < quota - reserved_count
 
     def _is_cold(self, target):
         return self._cold_left_s(target) > 0
@@ -404,7 +411,7 @@
         return target.cold_left_s(now_s, rule.start_s, taken_back_at_s)
 
     def _taken_back_domains(self, entries):
-        """Return the failure domains of targets that were taken back lately."""
+        """Return the failure domains of the targets that were recently taken back."""
         if self.evacuations is None:
             return ()
         return {
@@ -430,34 +437,34 @@
         if not self.peers.is_roster_known():
             return 0
         host_count = self.peers.roster_count()
-        place, known_count = self._places.get(target.instance_id, (0, 0))
+        position, known_count = self._order_positions.get(target.instance_id, (0, 0))
         if known_count != host_count:
-            place = self.peers.roster_place(target.instance_id)
-            self._places[target.instance_id] = (place, host_count)
-        return rule.quota(place, host_count)
+            position = self.peers.roster_place(target.instance_id)
+            self._order_positions[target.instance_id] = (position, host_count)
+        return rule.quota(position, host_count)
 
-    def _note_state(self, target, told_by):
-        """Log that a target is taken to be cold, or not any more."""
+    def _note_state(self, target, source):
+        """Log that a target becomes cold or warm."""
         left_s = self._cold_left_s(target)
-        was_cold = target.instance_id in self._maybe_cold
+        was_cold = target.instance_id in self._cold_ids
         if (left_s > 0) == was_cold:
             return
         if not was_cold:
-            self._maybe_cold.add(target.instance_id)
+            self._cold_ids.add(target.instance_id)
             _logger.event(
                 "target is cold",
                 target=target.instance_id,
                 limited_service=target.service_name,
                 left_s=round(left_s, 3),
-                told_by=told_by,
+                told_by=source,
                 quota=self._quota(target),
                 hosts=self._host_count(),
             )
         else:
-            self._maybe_cold.discard(target.instance_id)
+            self._cold_ids.discard(target.instance_id)
             _logger.event(
                 "target is not cold any more",
                 target=target.instance_id,
                 limited_service=target.service_name,
-                told_by=told_by,
+                told_by=source,
             )
--- a/siskinthread/target_limits/_cold_rule.py
+++ b/siskinthread/target_limits/_cold_rule.py
@@ -4,14 +4,14 @@
 
 
 class ColdRule:
-    """What the cold targets of one service may get.
+    """Bound of the requests to each cold target of one service.
 
     Parameters
     ----------
     service : siskinthread.gateway.Service
-        Has ``cold_start_s`` and ``cold_per_s``.
+        Provides ``cold_start_s`` and ``cold_per_s``.
     settings : ColdTargetSettings
-        How far the rate may be exceeded, and which part of that is used.
+        By how much the rate may be exceeded, and which fraction of the bound is used.
 
     Attributes
     ----------
@@ -28,32 +28,32 @@
         self.start_s = service.cold_start_s
         self.usable_count = math.floor(settings.used_share * bound)
 
-    def quota(self, place, host_count):
-        """Return the requests within a window of the host in one place of an order.
+    def quota(self, position, host_count):
+        """Return the requests within a window of the host at one position of an order.
 
         Parameters
         ----------
-        place, host_count : int
-            Hosts that go before it, and all hosts.
+        position, host_count : int
+            Number of hosts before it in the order, and of all hosts.
 
         Notes
         -----
-        It never rises with either number, so that a host that knows of more hosts than
-        there are sends less than its part, never more.
+        The quota never rises with either number, so a host that counts too many hosts
+        sends less than its share, never more.
         """
         share, rest = divmod(self.usable_count, host_count)
-        return share + (place < rest)
+        return share + (position < rest)
 
 
 def find_rules(services, settings):
-    """Return the `ColdRule` of each service that has one, by its name.
+    """Return the `ColdRule` of each service that has one, by service name.
 
     Parameters
     ----------
     services : dict of str to siskinthread.gateway.Service
         All services.
     settings : ColdTargetSettings
-        Without an excess ratio there is no rule.
+        An excess ratio of 0 disables all rules.
     """
     if not settings.excess_ratio:
         return {}
--- a/siskinthread/target_limits/_asked.py
+++ b/siskinthread/target_limits/_demand.py
@@ -1,15 +1,15 @@
-"""How many requests callers ask for."""
+"""Rates and priorities of callers' requests."""
 
 import math
 
 
-class AskedRates:
-    """Rate of callers' requests at this entry, by service.
+class RequestRates:
+    """Rate of callers' requests to this host, by service.
 
     Parameters
     ----------
     memory_s : float
-        Time over which a rate is averaged, seconds.
+        Time constant of the average, seconds.
     clock : siskinthread.timing.Clock
         Clock of the rates.
     """
@@ -19,7 +19,7 @@
     def __init__(self, memory_s, clock):
         self._memory_s = memory_s
         self._clock = clock
-        # Rate and when it was reckoned, monotonic seconds, by service.
+        # Rate and the time of its last update, monotonic seconds, by service.
         self._rates = {}
 
     def note(self, service_name):
@@ -29,7 +29,7 @@
         self._rates[service_name] = (rate_per_s, now_s)
 
     def rate_per_s(self, service_name):
-        """Return the requests a second, the last ones counting most."""
+        """Return the exponentially weighted mean rate, requests a second."""
         known = self._rates.get(service_name)
         if known is None:
             return 0.0
@@ -38,13 +38,13 @@
         return rate_per_s * math.exp(-age_s / self._memory_s)
 
 
-class MostUrgent:
-    """The most urgent rank of callers' requests lately, by service.
+class TopPriority:
+    """The most urgent priority among recent requests of callers, by service.
 
     Parameters
     ----------
     memory_s : float
-        How long a rank counts after its last request, seconds.
+        How long a priority counts after its last request, seconds.
     clock : siskinthread.timing.Clock
         Clock of the times.
     """
@@ -54,19 +54,19 @@
     def __init__(self, memory_s, clock):
         self._memory_s = memory_s
         self._clock = clock
-        # Rank, 0 first, and when it was asked for last, monotonic seconds.
+        # Priority, 0 first, and the time of its last request, monotonic seconds.
         self._known = {}
 
     def note(self, service_name, priority):
-        """Note the rank of a request."""
-        if self.includes(service_name, priority):
+        """Record the priority of a request."""
+        if self.is_top(service_name, priority):
             self._known[service_name] = (priority, self._clock.monotonic_s())
 
-    def includes(self, service_name, priority):
-        """Return whether no request of a more urgent rank came lately."""
+    def is_top(self, service_name, priority):
+        """Return whether no recent request had a more urgent priority."""
         known = self._known.get(service_name)
         if known is None:
             return True
         most_urgent, at_s = known
-        is_over = self._clock.monotonic_s() - at_s > self._memory_s
-        return is_over or priority <= most_urgent
+        is_expired = self._clock.monotonic_s() - at_s > self._memory_s
+        return is_expired or priority <= most_urgent
--- a/siskinthread/target_limits/_settings.py
+++ b/siskinthread/target_limits/_settings.py
@@ -1,195 +1,198 @@
-"""Settings of limits that targets name, of their back-offs, and of cold targets."""
+"""Settings of the rate limits, back-offs and cold starts of targets."""
 
 from siskinthread.settings import Item, Section
 
 
 class TargetLimitSettings(Section):
-    """How much of a limit is used, and how what is known of it ages."""
+    """How much of a stated limit is used, and how long limits are remembered."""
 
     window_s = Item(
         float,
         default=4.0,
         minimum=0.1,
-        description="Window in which a target must not get more than its limit and "
-        "the excess below allow.",
+        description="Window within which a target gets at most `excess_ratio` times "
+        "its limit and `excess_count` requests more.",
     )
     excess_ratio = Item(
         float,
         default=1.5,
         minimum=1.0,
-        description="How many times its limit a target may get within a window.",
+        description="Ratio of the requests that a target may get within a window to "
+        "its limit.",
     )
     excess_count = Item(
         int,
         default=5,
         minimum=0,
-        description="Requests that a target may get within a window beside that.",
+        description="Requests that a target may get within a window in addition.",
     )
     deviation_count = Item(
         float,
         default=5.0,
         minimum=0.0,
         description="Standard deviations between the mean number of requests that a "
-        "target gets within a window and the most that it may get. Entries that send "
-        "it a request each now and then do so by chance.",
+        "target gets within a window and the allowed maximum. Hosts that each send it "
+        "a request now and then exceed the mean by chance.",
     )
     used_share = Item(
         float,
         default=0.9,
         minimum=0.1,
-        description="Largest part of a limit that is used. The rest is for requests "
-        "that entries have not told one another of yet.",
+        description="Largest fraction of a limit that is used. The rest covers "
+        "requests that hosts have not reported to each other yet.",
     )
     asked_memory_s = Item(
         float,
         default=1.5,
         minimum=0.1,
-        description="Time over which the rate of callers' requests is averaged.",
+        description="Time constant of the average rate of callers' requests.",
     )
     many_asked_count = Item(
         float,
         default=4.0,
         minimum=0.0,
-        description="Callers' requests within that time from which on an entry goes by "
-        "its part of a limit; with fewer, chance decides on each request.",
+        description="Callers' requests within `asked_memory_s` from which on a host "
+        "meters its share of a limit; with fewer, each request is sent at random.",
     )
     urgent_memory_s = Item(
         float,
         default=10.0,
         minimum=0.0,
-        description="How long the most urgent rank of a service's requests counts. "
-        "Part of what an entry has saved of a limit is kept for these.",
+        description="How long the most urgent priority of a service's requests counts. "
+        "Part of the allowance that a host has saved is kept for this priority.",
     )
     saved_s = Item(
         float,
         default=0.5,
         minimum=0.0,
-        description="Time for which an entry saves what it has not used of its part.",
+        description="Time over which a host saves the unused part of its share.",
     )
     saved_count = Item(
         float,
         default=2.0,
         minimum=0.0,
-        description="Requests of a limit that all entries together save beside that, "
-        "each its part of them.",
+        description="Requests of a limit that all hosts together save in addition, "
+        "each in proportion to its share.",
     )
     test_wait_s = Item(
         float,
         default=2.0,
         minimum=0.1,
-        description="Time without word of a limited target after which one entry sends "
-        "it a request, to learn whether the limit is over; the next entry does after "
-        "twice that, and so on.",
+        description="Time without a statement of a limited target after which one host "
+        "sends it a request, to learn whether the limit has ended; the next host does "
+        "so after twice that time, and so on.",
     )
     ended_told_s = Item(
         float,
         default=3.0,
         minimum=0.0,
-        description="How long entries tell one another that a limit has ended.",
+        description="How long hosts report the end of a limit to each other.",
     )
     doubling_s = Item(
         float,
         default=0.5,
         minimum=0.01,
-        description="Time in which the rate doubles that a target gets after the end "
-        "of its limit, until `doubling_count` doublings.",
+        description="Time in which the rate of a target doubles after the end of its "
+        "limit, for `doubling_count` doublings.",
     )
     doubling_count = Item(
         int,
         default=6,
         minimum=0,
-        description="Doublings after which a target whose limit has ended is like any "
-        "other one; 3 s with the default time.",
+        description="Doublings after which a target whose limit has ended is "
+        "unrestricted; 3 s with the default `doubling_s`.",
     )
     memory_s = Item(
         float,
         default=60.0,
         minimum=1.0,
-        description="Time without an answer of a target to any entry after which its "
-        "limit is forgotten. With callers, one entry tests it every 2 s.",
+        description="Time without an answer of a target to any host after which its "
+        "limit is forgotten. With callers, one host tests it every 2 s.",
     )
     targets_limit = Item(
         int,
         default=1024,
         minimum=1,
-        description="Targets whose limits are remembered.",
+        description="Maximum number of targets whose limits are remembered.",
     )
     told_limit = Item(
         int,
         default=48,
         minimum=1,
-        description="Limits that a datagram tells of, the newest first; 2 KB of its "
-        "8 KB.",
+        description="Maximum number of limits in a datagram, the newest first; 2 KB of "
+        "its 8 KB.",
     )
 
 
 class TargetBackoffSettings(Section):
-    """How an entry comes back to a target that has requested back-off of it."""
+    """How a host resumes sending to a target that has requested back-off from it."""
 
     try_wait_s = Item(
         float,
         default=1.0,
         minimum=0.01,
-        description="Time after a request to a target whose back-off is over, without "
-        "an answer, until it gets another one.",
+        description="Time after a request to a target whose back-off has ended, "
+        "without an answer, until the target gets another request.",
     )
     spread_s = Item(
         float,
         default=0.5,
         minimum=0.0,
-        description="Least time behind the end of a back-off over which refused "
-        "callers are spread when more come back than there are places.",
+        description="Shortest time after the end of a back-off over which refused "
+        "callers are spread when there are more of them than retry slots.",
     )
     told_margin_s = Item(
         float,
         default=0.3,
         minimum=0.0,
-        description="Time after the end of a back-off for which entries that a peer "
-        "has told of it still prefer other targets, so that the one that was asked "
-        "tries first.",
+        description="Time after the end of a back-off for which hosts that learnt of "
+        "it from a peer still prefer other targets, so that the host that was asked to "
+        "back off tries first.",
     )
     return_memory_s = Item(
         float,
         default=10.0,
         minimum=0.1,
         description="Time after the end of a back-off from which on a target that has "
-        "got no request counts as any other one.",
+        "got no request is unrestricted.",
     )
     targets_limit = Item(
         int,
         default=1024,
         minimum=1,
-        description="Targets whose back-offs are remembered.",
+        description="Maximum number of targets whose back-offs are remembered.",
     )
     told_limit = Item(
         int,
         default=32,
         minimum=1,
-        description="Back-offs that a datagram tells of, some 1 KB of its 8 KB.",
+        description="Maximum number of back-offs in a datagram, about 1 KB of its 8 "
+        "KB.",
     )
 
 
 class ColdTargetSettings(Section):
-    """How many requests a target may get that is cold after a start."""
+    """How many requests a target may get while it is cold after a start."""
 
     excess_ratio = Item(
         float,
         default=0.0,
         minimum=0.0,
-        description="How many times the rate that its service states a cold target may "
-        "get within any second. 0 stands for no rule.",
+        description="Ratio of the requests that a cold target may get within any "
+        "second to the rate that its service states. 0 disables the rule.",
     )
     excess_count = Item(
         float,
         default=0.0,
         minimum=0.0,
-        description="Requests that it may get within any second beside that.",
+        description="Requests that a cold target may get within any second in "
+        "addition.",
     )
     used_share = Item(
         float,
         default=0.9,
         minimum=0.1,
-        description="Largest part of that bound that is used.",
+        description="Largest fraction of that bound that is used.",
     )
     window_s = Item(
         float,
@@ -202,15 +205,15 @@
         int,
         default=32,
         minimum=1,
-        description="Cold targets that a datagram tells of, some 1 KB of its 8 KB, and "
-        "as many that have failed.",
+        description="Maximum number of cold targets in a datagram, about 1 KB of its 8 "
+        "KB, and likewise of failed targets.",
     )
     failure_told_s = Item(
         float,
         default=1.0,
         minimum=0.0,
-        description="Time after a failure of a target for which peers are told of it, "
-        "and take it to be cold if two of them tell. A process that restarts under the "
-        "same id is back within this time, and then tells itself that it is cold. 0 "
-        "tells none.",
+        description="Time after a failure of a target for which the failure is "
+        "reported to peers, which treat the target as cold if two of them report it. A "
+        "process that restarts under the same id is back within this time, and then "
+        "states itself that it is cold. 0 reports no failures.",
     )
--- a/siskinthread/target_limits/_statement.py
+++ b/siskinthread/target_limits/_statement.py
@@ -1,16 +1,16 @@
-"""What targets and entries state of limits."""
+"""Statements of targets and hosts on limits, back-offs and cold starts."""
 
 
 class StatedLimit:
-    """What an answer of a target states.
+    """The rate limit that an answer of a target states.
 
     Parameters
     ----------
     rate_per_s : float or None
-        Requests a second that the target takes from all entries; None if the answer
-        names no limit.
+        Requests a second that the target takes from all hosts; None if the answer
+        states no limit.
     unreadable : str or None
-        What stood in the place of a rate, if that is none.
+        The text in the place of the rate, if it is not a rate.
     """
 
     __slots__ = ("rate_per_s", "unreadable")
@@ -21,14 +21,14 @@
 
 
 class StatedBackoff:
-    """For how long a target wants no request from the entry that it answers.
+    """The back-off that an answer of a target requests from this host.
 
     Parameters
     ----------
     wait_s : float
-        That time from the answer on, seconds; 0 if it asks for none.
+        Duration of the back-off from the answer on, seconds; 0 for none.
     unreadable : str or None
-        What stood in the place of one time, if that is not one.
+        The text in the place of a duration, if it is not a duration.
     """
 
     __slots__ = ("unreadable", "wait_s")
@@ -39,7 +39,7 @@
 
 
 class LimitStatement:
-    """What an entry tells others of the limit of a target.
+    """What a host reports to its peers about the rate limit of a target.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
     rate_per_s : float or None
         The limit; None if it has ended.
     age_s : float
-        Time since an answer of the target stated that, seconds.
+        Time since an answer of the target stated the limit or its end, seconds.
     """
 
     __slots__ = ("age_s", "instance_id", "rate_per_s", "service_name")
@@ -63,16 +63,18 @@
 
 
 class ColdStatement:
-    """What an entry tells others of a target that is cold, or failed and may be.
+    """What a host reports to its peers about a cold or failed target.
 
     Parameters
     ----------
     instance_id : str
         The target.
     left_s : float
-        For how long it is still cold by its own word, seconds; 0 without one.
+        For how much longer the target is cold by its own statement, seconds; 0
+        without a statement.
     failed_age_s : float or None
-        Time since it failed this entry, seconds; None if it has not lately.
+        Time since the target failed this host, seconds; None without a recent
+        failure.
     """
 
     __slots__ = ("failed_age_s", "instance_id", "left_s")
@@ -83,12 +85,12 @@
         self.failed_age_s = failed_age_s
 
     def key(self):
-        """Return what peers learn from it at once, apart from the times."""
+        """Return the part that peers need at once, without the times."""
         return self.instance_id, self.failed_age_s is not None
 
 
 class BackoffStatement:
-    """What an entry tells others of the back-off that a target has asked it for.
+    """What a host reports to its peers about the back-off of a target.
 
     Parameters
     ----------
--- a/siskinthread/target_limits/tests/fault_model.py
+++ b/siskinthread/target_limits/tests/fault_model.py
@@ -1,7 +1,7 @@
-"""Hosts with real news before a limited or a cold target, while the network fails.
+"""Hosts with real peer reports before a limited or a cold target, with network faults.
 
 ``python -m siskinthread.target_limits.tests.fault_model --hosts 4 12 --seeds 20``
-prints for each fault how often a bound was broken, the most requests of a window, and
+prints for each fault how often a bound was exceeded, the most requests of a window, and
 how much of the bound was used.
 """
 
@@ -23,7 +23,7 @@
 
 TARGET = entry("i-1")
 ANSWER_S = 0.02
-# The news have settled, the fault begins, hosts join in it, it ends, the run ends.
+# Reports have settled, the fault begins, hosts join during it, it ends, the run ends.
 SETTLED_S = 5.0
 FAULT_S = 10.0
 JOINS_S = 12.0
@@ -38,19 +38,20 @@
 
 
 class FaultyFleet:
-    """Hosts that ask one target, and a fault in the middle of the run.
+    """Hosts with requests for one target, and a fault in the middle of the run.
 
     Parameters
     ----------
     host_count : int
         Hosts at the beginning; three quarters as many join.
     asked_per_s : float
-        Requests a second of callers, who come to all hosts alike.
+        Requests a second of callers, who use all hosts equally.
     seed : int
-        Of everything that is drawn.
+        Seed of all random values.
     fault : str
-        One of `FAULTS`: nothing; failure domains a and b hear only c; a hears none;
-        hosts join; the same in a cut; a third of the hosts, one domain, is killed.
+        One of `FAULTS`: none; failure domains a and b receive only from c; a is cut off
+        from both others; hosts join; hosts join during either cut; the hosts of one
+        domain, a third of all hosts, are killed.
 
     Attributes
     ----------
@@ -83,14 +84,14 @@
 
 
 class LimitedFleet(FaultyFleet):
-    """Hosts before a target that states a limit."""
+    """Hosts before a target that states a rate limit."""
 
     def __init__(self, host_count, limit_per_s, seed, fault="none"):
         self.limit_per_s = limit_per_s
         super().__init__(host_count, 2 * limit_per_s, seed, fault)
 
     def play(self):
-        """Return the most requests of a window, and the part of the limit used."""
+        """Return the most requests of a window, and the used fraction of the limit."""
         self.fleet.run(END_S)
         settled_s = [at_s for at_s in self.sent_s if at_s >= SETTLED_S]
         in_fault = [at_s for at_s in settled_s if FAULT_S <= at_s < HEALED_S]
@@ -119,7 +120,7 @@
 
 
 class ColdFleet(FaultyFleet):
-    """Hosts before a target that starts, and is cold, while the fault lasts."""
+    """Hosts before a target that starts with the fault, and is cold for `COLD_S`."""
 
     def __init__(self, host_count, seed, fault="none"):
         service = Service("app", cold_start_s=COLD_S, cold_per_s=COLD_PER_S)
@@ -130,7 +131,7 @@
         self.fleet.at(FAULT_S, self._start_target)
 
     def play(self):
-        """Return the most requests of a second, and the part of the bound used."""
+        """Return the most requests of a second, and the used fraction of the bound."""
         self.fleet.run(FAULT_S + COLD_S - 0.001)
         return most_within(self.sent_s, 1.0), len(self.sent_s) / COLD_S / self.bound
 
@@ -163,17 +164,17 @@
 
 
 class FlappingColdFleet(ColdFleet):
-    """Hosts before a warm target that is unreachable and then cold in turns.
+    """Hosts before a warm target that alternates between unreachable and cold.
 
-    Each time that it is back, under the same id, it answers with the time for which it
-    is cold.
+    Each time that the target is back, under the same id, it states its remaining cold
+    time in its answers.
 
     Parameters
     ----------
     host_count, seed : int
-        Hosts, and the seed of all that is drawn.
+        Number of hosts, and the seed of all random values.
     down_s : float
-        For how long it is unreachable in each second.
+        For how long the target is unreachable in each second.
     """
 
     def __init__(self, host_count, seed, down_s):
@@ -206,7 +207,7 @@
 
 
 def main():
-    """Print how the bounds do."""
+    """Print the results of each fault."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=20, help="runs of each kind")
     parser.add_argument("--hosts", type=int, nargs="*", default=(4, 12, 38))
@@ -233,7 +234,7 @@
     most = [one for one, _ in runs]
     used = sum(one for _, one in runs) / len(runs)
     print(
-        f"{name}: {sum(one > bound for one in most)} of {len(most)} broken, "
+        f"{name}: {sum(one > bound for one in most)} of {len(most)} over it, "
         f"most {max(most)} of {bound:g}, used {used:.2f}",
         flush=True,
     )
--- a/siskinthread/target_limits/tests/test_backoffs.py
+++ b/siskinthread/target_limits/tests/test_backoffs.py
@@ -1,4 +1,4 @@
-"""What is believed of back-offs, and how an entry comes back after one."""
+"""State of back-offs, and how a host resumes sending after a back-off."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class BackedOff:
-    """The back-offs of an entry, and the answers of a target."""
+    """The back-offs of a host, and the answers of a target."""
 
     def __init__(self, backoff_s=None):
         self.clock = clock()
@@ -26,7 +26,7 @@
             self.answer(backoff_s)
 
     def answer(self, backoff_s=0.0, sent_before_s=0.0, target=TARGET, unreadable=None):
-        """Let a target answer a request that was sent so long before."""
+        """Let a target answer a request that was sent `sent_before_s` ago."""
         sent_at_s = self.clock.monotonic_s() - sent_before_s
         self.backoffs.note_answer(
             target, sent_at_s, StatedBackoff(backoff_s, unreadable)
@@ -37,7 +37,7 @@
         return TARGET in self.backoffs.admitted([TARGET, OTHER], may_try)
 
     def send(self):
-        """Send requests for as long as the target may get some; return their number."""
+        """Send as many requests as are admitted; return their number."""
         count = 0
         while self.is_admitted() and count < 100:
             self.backoffs.note_sent(TARGET.instance_id)
@@ -45,7 +45,7 @@
         return count
 
 
-def test_target_backoff_for_as_long_as_it_asked():
+def test_target_is_backed_off_for_the_requested_time():
     """Another target gets the requests meanwhile."""
     backed_off = BackedOff(3.0)
     backed_off.clock.advance(2.99)
@@ -56,8 +56,8 @@
 
 
 @pytest.mark.parametrize("later_s", [0.0, 0.5])
-def test_backoff_is_not_ended_by_what_comes_within_it(later_s):
-    """A good answer to an earlier request, or a shorter back-off, ended the longer."""
+def test_backoff_is_not_ended_by_later_answers(later_s):
+    """An answer to an earlier request, or a shorter back-off, ended a longer one."""
     backed_off = BackedOff(3.0)
     backed_off.clock.advance(1.0)
     backed_off.answer(later_s, sent_before_s=1.5)
@@ -65,8 +65,8 @@
     assert not backed_off.is_admitted()
 
 
-def test_latest_end_of_several_backoffs_holds():
-    """Each answer asks for its time from then on."""
+def test_latest_end_of_several_backoffs_counts():
+    """The duration of each back-off counts from its own answer."""
     backed_off = BackedOff(1.0)
     backed_off.clock.advance(0.5)
     backed_off.answer(1.0)
@@ -74,8 +74,8 @@
     assert not backed_off.is_admitted()
 
 
-def test_one_request_finds_out_whether_the_backoff_is_over():
-    """All entries sent all they had at the end of a back-off; the next one began."""
+def test_single_request_probes_a_target_after_its_backoff():
+    """All hosts sent their full load after a back-off and caused the next one."""
     backed_off = BackedOff(1.0)
     backed_off.clock.advance(1.0)
     assert backed_off.send() == 1
@@ -86,8 +86,8 @@
     assert backed_off.send() == 4
 
 
-def test_target_that_has_answered_is_like_any_other_one():
-    """What is held back after a back-off ends with as many answers as it has slots."""
+def test_target_is_unrestricted_after_enough_answers():
+    """The restriction ends after as many answers as the target has slots."""
     backed_off = BackedOff(1.0)
     backed_off.clock.advance(1.0)
     for _ in range(TARGET.slot_count):
@@ -96,7 +96,7 @@
 
 
 def test_target_that_does_not_answer_its_first_request_gets_another():
-    """A lost answer kept a target out for good."""
+    """A single lost answer excluded a target for good."""
     backed_off = BackedOff(1.0)
     backed_off.clock.advance(1.0)
     assert backed_off.send() == 1
@@ -104,8 +104,8 @@
     assert backed_off.send() == 1
 
 
-def test_request_that_can_go_nowhere_else_does_not_try_whether_the_backoff_is_over():
-    """A caller whose request may have one target only was refused by the try."""
+def test_request_without_alternative_does_not_probe_a_target():
+    """A request that could not be retried elsewhere was declined as a probe."""
     backed_off = BackedOff(1.0)
     backed_off.clock.advance(1.5)
     assert not backed_off.is_admitted(may_try=False)
@@ -115,36 +115,36 @@
     assert backed_off.is_admitted(may_try=False)
 
 
-def test_backoff_belongs_to_the_start_of_a_target():
-    """A target that has started anew has asked for nothing."""
+def test_restarted_target_is_not_backed_off():
+    """The back-off was requested by the previous instance."""
     backed_off = BackedOff(3.0)
     assert (
         ids(backed_off.backoffs.admitted([entry("i-1@2", listed_id="i-1")], True)) != []
     )
 
 
-def test_callers_come_back_one_after_the_other_from_the_end_of_the_backoff_on():
-    """All callers were told the same moment, at which the next back-off began."""
+def test_retries_are_spread_after_the_end_of_the_backoff():
+    """All callers retried at the same time and caused the next back-off."""
     backed_off = BackedOff(2.0)
-    told_s = [
+    retry_s = [
         backed_off.backoffs.come_back_after_s([TARGET], asked_per_s=10, longest_s=3.0)
         for _ in range(30)
     ]
-    assert told_s[:3] == pytest.approx([2.0, 2.1, 2.2])
-    assert all(2.0 <= one <= 3.0 for one in told_s)
+    assert retry_s[:3] == pytest.approx([2.0, 2.1, 2.2])
+    assert all(2.0 <= one <= 3.0 for one in retry_s)
 
 
-def test_caller_is_told_the_end_of_a_backoff_that_it_can_not_await():
-    """An earlier time would be no more than a wish."""
+def test_caller_gets_the_end_of_a_backoff_beyond_its_wait():
+    """A retry before the end of the back-off would be refused again."""
     backed_off = BackedOff(60.0)
-    told_s = backed_off.backoffs.come_back_after_s(
+    retry_s = backed_off.backoffs.come_back_after_s(
         [TARGET], asked_per_s=10, longest_s=1.0
     )
-    assert told_s == pytest.approx(60.0)
+    assert retry_s == pytest.approx(60.0)
 
 
-def test_unreadable_backoff_is_logged_once_and_asks_for_nothing(caplog):
-    """A spoilt header must neither fill the log nor stop the target."""
+def test_unreadable_backoff_is_logged_once_and_ignored(caplog):
+    """A malformed header must neither fill the log nor stop the target."""
     backed_off = BackedOff()
     for _ in range(3):
         backed_off.answer(unreadable="soon" * 100)
@@ -153,7 +153,7 @@
 
 
 def test_backoffs_are_bounded_and_forgotten():
-    """A target that gets no request for long counts as any other one."""
+    """A target that gets no request for a long time is unrestricted again."""
     backed_off = BackedOff()
     for number in range(SETTINGS.targets_limit + 10):
         backed_off.answer(1.0, target=entry(f"i-{number}"))
--- a/siskinthread/target_limits/tests/test_cold.py
+++ b/siskinthread/target_limits/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""What hosts send to targets that are cold after a start."""
+"""Requests of hosts to targets that are cold after a start."""
 
 import random
 
@@ -12,7 +12,7 @@
     ColdTargetSettings,
     FREE_PERMIT,
 )
-from siskinthread.target_limits.tests.cold_model import Run, SIZES, TROUBLES
+from siskinthread.target_limits.tests.cold_model import FAULTS, Run, SIZES
 
 SETTINGS = ColdTargetSettings(excess_ratio=1.5, excess_count=5.0)
 START_S = 4.0
@@ -25,12 +25,12 @@
         self.ages_s = {}
 
     def taken_back_s_ago(self, domain):
-        """Return when a domain was taken back, or None."""
+        """Return the seconds since a domain was taken back, or None."""
         return self.ages_s.get(domain)
 
 
 class FewHosts:
-    """Peers of one host whose place is set."""
+    """Peers of one host with a given position."""
 
     def __init__(self, host_count=4, place=0):
         self.host_count = host_count
@@ -42,7 +42,7 @@
         return self.host_count
 
     def roster_place(self, name):
-        """Return how many go before this one."""
+        """Return the number of hosts before this one."""
         return self.place
 
     def is_roster_known(self):
@@ -51,7 +51,7 @@
 
 
 class System:
-    """The decision of one host, and a clock."""
+    """The cold targets of one host, and a clock."""
 
     def __init__(self, settings=SETTINGS, peers=None, cold_per_s=5.0):
         self.clock = clock()
@@ -67,7 +67,7 @@
         self.cold.take_table(RouteTable(1, [], [service], None, None))
 
     def note(self, cold_left_s=0.0, number=0, is_new=False):
-        """Read the target's list entry."""
+        """Apply the target's list entry."""
         self.target.cold_left_s = cold_left_s
         self.target.report_number = number
         self.cold.note_entry(self.target, is_new)
@@ -77,7 +77,7 @@
         return bool(self.cold.admitted([self.target], "app", is_urgent))
 
     def send(self, most_count=100, is_urgent=True):
-        """Send as many requests as are allowed; return how many that were."""
+        """Send as many requests as are admitted; return their number."""
         for count in range(most_count):
             if not self.is_admitted(is_urgent):
                 return count
@@ -85,33 +85,33 @@
         return most_count
 
     def is_cold(self):
-        """Return whether the target is taken to be cold."""
+        """Return whether the target is cold."""
         return self.cold.cold_count() == 1
 
 
 @pytest.mark.parametrize("host_count", SIZES)
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_no_second_has_more_requests_than_the_bound(host_count, trouble):
+@pytest.mark.parametrize("fault", FAULTS)
+def test_no_second_has_more_requests_than_the_bound(host_count, fault):
     """A cold target that gets more than its bound crashes.
 
-    News are lost or late, a third of the hosts joins, hears of none, or joins while
-    another third is cut off.
+    Reports are lost or late; a third of the hosts joins, receives no reports, or joins
+    while another third is cut off.
     """
     for seed in range(2):
-        run = Run(host_count, seed, trouble)
+        run = Run(host_count, seed, fault)
         most, _ = run.play()
         assert most <= run.bound
 
 
 @pytest.mark.parametrize("host_count", [1, 4, 12])
-def test_quotas_are_used_where_there_is_demand(host_count):
-    """A bound that is kept by sending nothing wastes what a target takes."""
+def test_quotas_are_used_up_under_demand(host_count):
+    """A bound that is kept by sending nothing wastes the capacity of the target."""
     _, used = Run(host_count, 1, asked_per_s=50.0).play()
     assert used >= 0.8
 
 
 def test_quota_never_rises_with_the_hosts_that_are_known():
-    """Hosts that know of gone ones as well would together exceed the bound."""
+    """Hosts that also count departed hosts would together exceed the bound."""
     system = System()
     rule = system.cold._rules["app"]
     for count in range(1, 40):
@@ -124,7 +124,7 @@
 
 
 def test_service_or_settings_without_a_rule_limit_nothing():
-    """Deployments without the rule must be served as before."""
+    """Deployments without the rule must not be restricted."""
     for system in (System(ColdTargetSettings()), System(cold_per_s=0.0)):
         system.note(cold_left_s=9.0, is_new=True)
         assert system.send() == 100
@@ -132,11 +132,11 @@
         assert not system.is_cold()
 
 
-def test_place_is_taken_from_the_choice_until_a_second_after_the_write():
-    """Requests whose connections open slowly came together within a second."""
+def test_slot_is_held_from_the_choice_until_a_second_after_the_write():
+    """Requests that waited for slow connections were written within the same second."""
     system = System(peers=FewHosts())
     system.note(cold_left_s=60.0)
-    # 11 of 12.5 for four hosts: 3, 3, 3 and 2.
+    # 11 of 12.5 requests are used: quotas of 3, 3, 3 and 2 for four hosts.
     permits = [system.cold.take(system.target) for _ in range(3)]
     system.clock.advance(5.0)
     assert not system.is_admitted()
@@ -151,7 +151,7 @@
 
 
 def test_request_is_withheld_when_its_target_becomes_cold_before_the_write():
-    """Chosen for a warm target, and written to a cold one that had its quota."""
+    """The target was warm when chosen, and is cold without a free slot at the write."""
     system = System(peers=FewHosts())
     system.note()
     permits = [system.cold.take(system.target) for _ in range(5)]
@@ -163,8 +163,8 @@
     assert permits[2].may_be_written()
 
 
-def test_requests_of_before_count_when_a_target_becomes_cold():
-    """A target that had many requests in the same second got its quota besides."""
+def test_earlier_requests_count_when_a_target_becomes_cold():
+    """A target with many requests in the same second got its cold quota in addition."""
     system = System(peers=FewHosts())
     system.note()
     assert system.send(20) == 20
@@ -175,8 +175,8 @@
 @pytest.mark.parametrize(
     ("host_count", "is_known", "count"), [(4, False, 0), (5, True, 3)]
 )
-def test_host_that_others_may_not_count_sends_nothing(host_count, is_known, count):
-    """A host that had just started took its part beside all the others' parts."""
+def test_host_with_an_incomplete_roster_sends_nothing(host_count, is_known, count):
+    """A host that had just started used its share in addition to all other shares."""
     peers = FewHosts(host_count)
     peers.is_known = is_known
     system = System(peers=peers)
@@ -184,8 +184,8 @@
     assert system.send() == count
 
 
-def test_host_that_hears_of_more_sends_less_at_once():
-    """Its part is another one's from then on."""
+def test_quota_shrinks_at_once_when_hosts_are_added():
+    """Part of its share belongs to the added hosts."""
     peers = FewHosts(1)
     system = System(peers=peers)
     system.note(cold_left_s=60.0)
@@ -195,8 +195,8 @@
     assert not permits[0].may_be_written()
 
 
-def test_last_request_of_a_quota_is_left_to_the_most_urgent():
-    """Less urgent requests that came first left urgent ones without a place."""
+def test_last_request_of_a_quota_is_reserved_for_urgent_requests():
+    """Earlier requests with a lower priority left no slot for urgent requests."""
     system = System(peers=FewHosts())
     system.note(cold_left_s=60.0)
     assert system.send(is_urgent=False) == 2
@@ -204,7 +204,7 @@
 
 
 def test_target_is_cold_as_long_as_it_states():
-    """A repeated reading of one report, as from a peer, must not prolong it."""
+    """Reading the same report again, as from a peer, must not extend the cold time."""
     system = System()
     system.note(cold_left_s=2.0, number=3)
     system.clock.advance(1.5)
@@ -215,26 +215,26 @@
 
 
 def test_hosts_that_do_not_read_the_list_learn_that_a_target_is_cold_again():
-    """They sent as before; what they heard must not go round among them for ever."""
+    """These hosts sent at full rate; no peer may repeat a statement for ever."""
     reader, other = System(), System()
     for system in (reader, other):
         system.note()
     reader.note(cold_left_s=2.0, number=1)
-    told = reader.cold.statements()
-    assert [(one.instance_id, one.left_s) for one in told] == [("i-1", 2.0)]
-    other.cold.hear([*told, ColdStatement("i-unknown", 2.0)], "peer")
+    reported = reader.cold.statements()
+    assert [(one.instance_id, one.left_s) for one in reported] == [("i-1", 2.0)]
+    other.cold.hear([*reported, ColdStatement("i-unknown", 2.0)], "peer")
     assert other.is_cold()
     assert not other.cold.statements()
     other.clock.advance(2.1)
     assert not other.is_cold()
-    other.cold.hear(told, "peer")
+    other.cold.hear(reported, "peer")
     other.clock.advance(0.1)
     other.cold.note_answer(other.target, 0.0)
     assert not other.is_cold()
 
 
 def test_older_report_does_not_end_the_cold_time():
-    """A copy of an earlier list said 0 and let all requests through."""
+    """An older copy of the list stated 0 and all requests were admitted."""
     system = System()
     system.note(cold_left_s=2.0, number=3)
     system.note(cold_left_s=0.0, number=2)
@@ -244,7 +244,7 @@
 
 
 def test_report_that_differs_under_the_same_number_counts():
-    """A target that does not count its reports was taken to be warm."""
+    """A target that does not number its reports was treated as warm."""
     system = System()
     system.note(cold_left_s=0.0, number=1)
     system.note(cold_left_s=2.0, number=1)
@@ -254,7 +254,7 @@
 
 
 def test_target_that_is_new_in_the_list_is_cold_whatever_it_states():
-    """A report of before its traffic says 0; a later one counts."""
+    """Its report from before its first requests states 0; later reports count."""
     system = System()
     system.note(number=1, is_new=True)
     assert system.is_cold()
@@ -267,7 +267,7 @@
 
 
 def test_target_is_cold_from_its_first_answer_after_a_failure():
-    """It had started anew under its id, and got all requests at once."""
+    """A target that had restarted under its id got all requests at once."""
     system = System()
     system.note()
     system.cold.note_failure("i-1")
@@ -284,7 +284,7 @@
 
 
 def test_late_answer_of_a_target_that_answers_others_is_no_failure():
-    """Under load all targets would be limited, and the load would grow."""
+    """Under load all targets would count as cold, and the load would grow."""
     system = System()
     system.note()
     sent_at_s = system.clock.monotonic_s()
@@ -297,7 +297,7 @@
 
 
 def test_domain_that_was_taken_back_is_cold():
-    """All its targets got their whole load at one moment."""
+    """All its targets got their whole load at once."""
     system = System()
     system.note()
     system.clock.advance(5.0)
@@ -311,7 +311,7 @@
 
 
 def test_target_that_vanishes_and_is_listed_again_keeps_its_count():
-    """It would get the quota twice within a second; later nothing is kept of it."""
+    """It would get the quota twice within a second; later its state is dropped."""
     system = System(peers=FewHosts())
     system.note(cold_left_s=60.0)
     assert system.send() == 3
@@ -325,8 +325,8 @@
     assert not system.cold._targets
 
 
-def test_refused_callers_are_told_to_come_back_one_behind_the_other():
-    """All of them came back at one moment, and were refused again."""
+def test_refused_callers_get_consecutive_retry_times():
+    """All refused callers retried at the same time, and were refused again."""
     system = System(peers=FewHosts())
     system.note(cold_left_s=60.0)
     system.send()
@@ -338,7 +338,7 @@
 
 
 def test_refused_callers_wait_no_longer_than_until_a_target_is_warm():
-    """They would come back long after it takes all requests again."""
+    """They would retry long after the target is unrestricted."""
     system = System(peers=FewHosts())
     system.note(cold_left_s=0.5)
     system.send()
--- a/siskinthread/target_limits/tests/test_cold_news.py
+++ b/siskinthread/target_limits/tests/test_cold_propagation.py
@@ -1,4 +1,4 @@
-"""How soon all hosts know of a cold target that one or two of them have met."""
+"""Time until all hosts know a cold target that only one or two hosts have detected."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 class SpreadingFleet(ColdFleet):
-    """Hosts that get no requests and know a warm target."""
+    """Hosts without requests that know a warm target."""
 
     def __init__(self, host_count, seed, lost_share=0.0):
         super().__init__(2, seed)
@@ -22,7 +22,7 @@
         self.fleet.run(SETTLED_S + self.fleet.random.random())
 
     def known_after_s(self):
-        """Return when the last host took the target to be cold, seconds from now."""
+        """Return the time until the target is cold for all hosts, seconds."""
         began_s = self.fleet.now_s()
         while self.fleet.now_s() < began_s + LATEST_S:
             if all(host.cold.cold_count() for host in self.fleet.hosts):
@@ -31,18 +31,18 @@
         return self.fleet.now_s() - began_s
 
 
-def spread_statement(host_count, seed, teller, lost_share=0.0):
-    """Let a target tell one host that it is cold; return when all know, seconds."""
+def spread_statement(host_count, seed, reporter, lost_share=0.0):
+    """Let the target state to a host that it is cold; return when all know, seconds."""
     spreading = SpreadingFleet(host_count, seed, lost_share)
-    spreading.fleet.hosts[teller].cold.note_answer(TARGET, 5.0)
+    spreading.fleet.hosts[reporter].cold.note_answer(TARGET, 5.0)
     return spreading.known_after_s()
 
 
-def spread_failure(host_count, seed, tellers, lost_share=0.0):
-    """Let a target fail some hosts; return when all take it to be cold, seconds."""
+def spread_failure(host_count, seed, reporters, lost_share=0.0):
+    """Let the target fail some hosts; return when it is cold for all, seconds."""
     spreading = SpreadingFleet(host_count, seed, lost_share)
-    for teller in tellers:
-        spreading.fleet.hosts[teller].cold.note_failure(TARGET.instance_id)
+    for reporter in reporters:
+        spreading.fleet.hosts[reporter].cold.note_failure(TARGET.instance_id)
     return spreading.known_after_s()
 
 
@@ -51,12 +51,12 @@
     """Hosts of other domains learnt up to a second later that a target was cold."""
     for seed in range(seeds):
         assert spread_statement(host_count, seed, seed) <= KNOWN_S, seed
-        tellers = range(seed, seed + 3)
-        assert spread_failure(host_count, seed, tellers) <= KNOWN_S, seed
+        reporters = range(seed, seed + 3)
+        assert spread_failure(host_count, seed, reporters) <= KNOWN_S, seed
 
 
 def test_failure_at_one_host_makes_a_target_cold_for_no_other():
-    """A host that loses its own link would limit all targets at all hosts."""
+    """A host that loses its own link would limit all targets for all hosts."""
     spreading = SpreadingFleet(12, 0)
     spreading.fleet.hosts[0].cold.note_failure(TARGET.instance_id)
     assert spreading.known_after_s() >= LATEST_S
@@ -64,7 +64,7 @@
 
 
 def test_failure_in_one_domain_makes_a_target_cold_for_no_other_domain():
-    """A domain that is cut off from a target would limit it for all others."""
+    """A domain that is cut off from a target would limit the target for all others."""
     spreading = SpreadingFleet(12, 0)
     hosts = spreading.fleet.hosts
     for host in hosts[::3]:
@@ -73,8 +73,8 @@
     assert {host.domain for host in hosts if host.cold.cold_count()} == {"a"}
 
 
-def test_failures_that_peers_tell_of_count_for_a_second():
-    """Hosts without a quota can't find out themselves that the target is back."""
+def test_failures_reported_by_peers_count_for_a_second():
+    """Hosts with a quota of 0 can't detect themselves that the target is back."""
     spreading = SpreadingFleet(12, 0)
     hosts = spreading.fleet.hosts
     for host in hosts[:3]:
@@ -84,8 +84,8 @@
     assert [host.cold.cold_count() for host in hosts] == 3 * [1] + 9 * [0]
 
 
-def test_answer_after_a_failure_outweighs_what_peers_tell():
-    """A target that answers this host is not taken to be cold by an older failure."""
+def test_own_answer_overrides_failures_reported_by_peers():
+    """A target that answers this host is not cold by an older failure at peers."""
     spreading = SpreadingFleet(12, 0)
     hosts = spreading.fleet.hosts
     for host in hosts[:3]:
--- a/siskinthread/target_limits/tests/test_partial_failures.py
+++ b/siskinthread/target_limits/tests/test_partial_failures.py
@@ -17,22 +17,23 @@
 def test_limit_is_kept_in_a_fault(host_count, seeds, fault):
     """With 4 hosts and one domain cut off, a target got 157 requests of 125 in 4 s.
 
-    Each side took its own callers for all of them.  By the last word of a silent domain
-    it is 81.
+    Each side of the cut took the requests of its own callers for the total demand.  If
+    the last report of a silent domain still counts, the target gets 81.
     """
     for seed in range(seeds):
         for limit_per_s in (2.0, 20.0):
             most, used = LimitedFleet(host_count, limit_per_s, seed, fault).play()
             assert most <= allowed_count(limit_per_s), (seed, limit_per_s)
-            # A domain that was killed counts for 20 s, as one that is cut off does.
-            # A limit of 2 lets 16 requests through in the fault, which is chance.
+            # A killed domain counts for 20 s, as does one that is cut off. A limit of 2
+            # admits 16 requests during the fault, so the used fraction varies too much
+            # to be checked.
             assert used >= 0.4 or limit_per_s < 20, (seed, used)
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize(("host_count", "seeds"), [(4, 3), (12, 1)])
-def test_cold_target_is_spared_in_a_fault(host_count, seeds, fault):
-    """Hosts that hear of a part of the others only would divide by too few."""
+def test_cold_target_stays_within_its_bound_in_a_fault(host_count, seeds, fault):
+    """A host that knows only some of the hosts would divide the bound by too few."""
     for seed in range(seeds):
         fleet = ColdFleet(host_count, seed, fault)
         most, used = fleet.play()
@@ -41,8 +42,8 @@
 
 
 @pytest.mark.parametrize("host_count", [4, 12])
-def test_cold_target_that_goes_up_and_down_is_spared(host_count):
-    """It counts as warm to hosts that have not met it since it came back."""
+def test_flapping_cold_target_stays_within_its_bound(host_count):
+    """Hosts that sent it no request since it came back treat it as warm."""
     for down_s in (0.2, 0.5):
         for seed in range(2):
             fleet = FlappingColdFleet(host_count, seed, down_s)
@@ -51,8 +52,8 @@
             assert used > 0.1
 
 
-def test_cold_target_that_was_away_for_a_moment_is_spared_by_38_hosts():
-    """Hosts of other domains hear up to a second later that it is cold."""
+def test_briefly_absent_cold_target_stays_within_its_bound_with_38_hosts():
+    """Hosts of other domains learn up to a second later that it is cold."""
     fleet = FlappingColdFleet(38, 0, 0.2)
     most, _ = fleet.play()
     assert most <= fleet.bound
@@ -60,7 +61,7 @@
 
 @pytest.mark.parametrize("fault", ["bridge joins", "cut joins"])
 def test_limit_and_cold_target_with_38_hosts(fault):
-    """Two thirds of what 38 hosts know of other domains comes as sums of these."""
+    """Two thirds of what 38 hosts know of other domains arrives as per-domain sums."""
     most, _ = LimitedFleet(38, 20.0, 1, fault).play()
     assert most <= allowed_count(20.0)
     fleet = ColdFleet(38, 1, fault)
@@ -69,13 +70,13 @@
 
 
 @pytest.mark.parametrize("limit_per_s", [2.0, 20.0])
-@pytest.mark.parametrize("entry_count", [2, 38, 300])
-def test_entries_keep_a_limit_in_a_cut(entry_count, limit_per_s):
-    """In the model of five domains, 46 of 200 runs of 300 entries broke it."""
+@pytest.mark.parametrize("host_count", [2, 38, 300])
+def test_hosts_keep_a_limit_in_a_cut(host_count, limit_per_s):
+    """In the model of five domains, 46 of 200 runs of 300 hosts exceeded the limit."""
     for seed in range(5):
         run = Run(
             ByDemand,
-            entry_count,
+            host_count,
             limit_per_s,
             2 * limit_per_s,
             seed,
--- a/siskinthread/target_limits/tests/test_register.py
+++ b/siskinthread/target_limits/tests/test_register.py
@@ -1,4 +1,4 @@
-"""What is believed of limits, and which requests are let through."""
+"""State of rate limits, and which requests are admitted."""
 
 import random
 
@@ -18,27 +18,27 @@
 
 
 class FakePeers:
-    """Other entries, that are asked for something."""
+    """Other hosts with a given request rate."""
 
     def __init__(self):
-        self.asked = 0.0
+        self.other_hosts_per_s = 0.0
         self.turn = 0
 
     def asked_per_s(self, service_name):
-        """Return what callers ask the others for."""
-        return self.asked
+        """Return the request rate of the other hosts."""
+        return self.other_hosts_per_s
 
     def silent_asked_per_s(self, service_name):
-        """Tell of no silent failure domains."""
+        """Return the request rate of silent failure domains: none."""
         return 0.0
 
     def turn_of(self, name):
-        """Return how many entries go before this one."""
+        """Return the number of hosts before this one."""
         return self.turn
 
 
 class Limited:
-    """The limits of an entry, and its callers."""
+    """The limits of a host, and its callers."""
 
     def __init__(self, rate_per_s=None):
         self.clock = clock()
@@ -48,12 +48,12 @@
             self.answer(rate_per_s)
 
     def answer(self, rate_per_s, sent_before_s=0.0):
-        """Let the target answer a request that was sent so long before."""
+        """Let the target answer a request that was sent `sent_before_s` ago."""
         sent_at_s = self.clock.monotonic_s() - sent_before_s
         self.limits.note_answer(TARGET, sent_at_s, StatedLimit(rate_per_s))
 
     def sent_count(self, asked_per_s, for_s):
-        """Return how many requests of callers are sent in a time."""
+        """Return how many requests of callers are sent within a time."""
         sent_count = 0
         for _ in range(round(asked_per_s * for_s)):
             self.clock.advance(1 / asked_per_s)
@@ -64,43 +64,43 @@
         return sent_count
 
     def rate_per_s(self):
-        """Return the limit that is believed, None without one."""
-        told = [one.rate_per_s for one in self.limits.statements()]
-        return told[0] if told else None
+        """Return the known limit, or None."""
+        reported = [one.rate_per_s for one in self.limits.statements()]
+        return reported[0] if reported else None
 
 
-def test_target_without_a_limit_gets_everything():
-    """Nothing is held back, told or reckoned while nobody names a limit."""
+def test_target_without_a_limit_gets_all_requests():
+    """Without a stated limit, requests are neither held back nor counted for peers."""
     limited = Limited()
     assert limited.sent_count(50, for_s=4) == 200
     assert limited.limits.statements() == []
     assert limited.limits.asked_rates() == {}
 
 
-def test_limit_holds_for_what_all_entries_are_asked_for():
-    """This entry's part is that of its callers, whatever the number of entries."""
+def test_limit_is_shared_by_request_rate():
+    """A host's share is that of its callers, independent of the number of hosts."""
     alone = Limited(10)
     assert 32 <= alone.sent_count(50, for_s=4) <= 65
     shared = Limited(10)
-    shared.peers.asked = 50.0
+    shared.peers.other_hosts_per_s = 50.0
     shared.sent_count(50, for_s=4)
     shared.answer(10)
     assert 16 <= shared.sent_count(50, for_s=4) <= 32
 
 
 def test_other_targets_are_not_limited():
-    """A limit is one of a target, not of its service."""
+    """A limit applies to one target, not to its service."""
     limited = Limited(0)
     assert not limited.limits.admitted([TARGET], "app", 1)
     assert limited.limits.admitted([entry("i-9")], "app", 1)
 
 
-def test_answer_that_was_overtaken_neither_ends_a_limit_nor_brings_it_back():
-    """Symptom: a server in need gets all requests for a moment, again and again.
+def test_overtaken_answer_neither_ends_nor_restores_a_limit():
+    """An overloaded server repeatedly got all requests for a moment.
 
-    Events: answers overtake one another; one to a request that was sent before the
-    limit was named comes after that, and names none.  The other way round, a late one
-    would bring back a limit that is over.
+    Answers overtake each other: an answer without a limit, to a request that was sent
+    before the limit was stated, arrives after the statement.  Likewise, a late answer
+    must not restore a limit that has ended.
     """
     limited = Limited(5)
     limited.clock.advance(0.1)
@@ -113,8 +113,8 @@
     assert limited.rate_per_s() is None
 
 
-def test_newer_word_counts_wherever_it_comes_from():
-    """A peer's word that is older than the own one changes nothing."""
+def test_newer_statement_counts_from_any_source():
+    """A peer's statement that is older than the known one changes nothing."""
     limited = Limited(5)
     limited.clock.advance(1.0)
     older = LimitStatement("i-1", "app", None, age_s=1.5)
@@ -123,21 +123,21 @@
     newer = LimitStatement("i-1", "app", 7.0, age_s=0.2)
     limited.limits.hear([newer], "peer")
     assert limited.rate_per_s() == 7
-    [told] = limited.limits.statements()
-    assert told.age_s == pytest.approx(0.2)
+    [reported] = limited.limits.statements()
+    assert reported.age_s == pytest.approx(0.2)
 
 
-def test_host_that_has_not_met_the_limit_takes_part():
-    """Symptom: the entry that learns of a limit last sends as before."""
+def test_host_applies_a_limit_reported_by_a_peer():
+    """The host that learns of a limit last must not send at its previous rate."""
     limited = Limited()
     limited.limits.hear([LimitStatement("i-1", "app", 2.0, age_s=0.1)], "peer")
     assert 1 <= limited.sent_count(50, for_s=4) <= 17
 
 
-def test_entries_come_back_by_steps_when_a_limit_ends():
-    """Symptom: a server that has just recovered is in need again.
+def test_rate_rises_gradually_when_a_limit_ends():
+    """A server that has just recovered is overloaded again.
 
-    Events: it names no limit any more, and all entries send to it at once.
+    It states no limit any more, and all hosts send to it at once.
     """
     limited = Limited(4)
     limited.sent_count(100, for_s=1.5)
@@ -149,12 +149,12 @@
     assert limited.sent_count(100, for_s=1.0) == 100
 
 
-def test_answers_after_the_end_of_a_limit_do_not_begin_the_return_anew():
-    """Three of four servers got 1 to 3 requests a second for good after their limits.
+def test_answers_after_the_end_of_a_limit_do_not_restart_the_recovery():
+    """Three of four servers stayed at 1 to 3 requests a second after their limits.
 
-    Each answer without a limit was taken for its end, from which the rate of a target
-    doubles step by step; so it never got beyond the first step, and at 43 s callers
-    were refused for limits that were over at 36 s.
+    Each answer without a limit was treated as the end of the limit, from which on the
+    rate of a target doubles step by step, so the rate never got beyond the first step.
+    At 43 s callers were refused for limits that had ended at 36 s.
     """
     limited = Limited(3)
     limited.sent_count(50, for_s=1.0)
@@ -166,10 +166,10 @@
 
 
 @pytest.mark.parametrize("turn", [0, 2])
-def test_target_that_takes_nothing_is_tested_by_one_entry_at_a_time(turn):
-    """Symptom: a server that named 0 never gets a request again, or one of each entry.
+def test_target_with_zero_limit_is_tested_by_one_host_at_a_time(turn):
+    """A server that stated a limit of 0 never got a request again, or one of each host.
 
-    Events: it names 0 requests a second; no answer comes that could end that.
+    No answer arrives that could end the limit.
     """
     limited = Limited(0)
     limited.peers.turn = turn
@@ -182,11 +182,10 @@
     assert limited.sent_count(20, for_s=1.0) == 20
 
 
-def test_surge_at_one_entry_does_not_exceed_the_limit():
-    """Symptom: a server in need gets ten times its limit for a second.
+def test_surge_at_one_host_does_not_exceed_the_limit():
+    """A server got ten times its limit for a second.
 
-    Events: callers ask for ten times what they did; the average of what is asked for
-    follows within seconds only.
+    The request rate rises tenfold, and its average follows only within seconds.
     """
     limited = Limited(20)
     limited.sent_count(4, for_s=6)
@@ -194,11 +193,11 @@
     assert limited.sent_count(200, for_s=4) <= 125
 
 
-def test_urgent_requests_find_a_place_though_others_ask_for_more_than_there_are():
-    """Alerts of a rail inspectorate are refused beside notices that can wait.
+def test_urgent_requests_are_sent_despite_excess_demand():
+    """Urgent requests are refused in favour of requests that can wait.
 
-    Callers ask for four times what a limited server takes; a fifth of that is urgent,
-    which is less than what it takes.
+    Callers send four times the limit of a server; a fifth of the requests is urgent,
+    which is less than the limit.
     """
     limited = Limited(10)
     limits, served = limited.limits, {0: 0, 5: 0}
@@ -215,41 +214,41 @@
     assert served[0] + served[5] >= 0.8 * 10 * 10
 
 
-def test_rank_that_comes_no_more_holds_nothing_back():
-    """Symptom: part of a limit is kept for requests that nobody sends any more."""
+def test_expired_priority_reserves_nothing():
+    """Part of a limit stays reserved for a priority that no caller uses any more."""
     limited = Limited(10)
     limited.limits.note_asked("app", 0)
     limited.clock.advance(SETTINGS.urgent_memory_s + 0.1)
     limited.answer(10)
     limited.limits.note_asked("app", 5)
-    assert limited.limits._urgent.includes("app", 5)
-    assert not limited.limits._urgent.includes("app", 6)
+    assert limited.limits._top_priority.is_top("app", 5)
+    assert not limited.limits._top_priority.is_top("app", 6)
 
 
-def test_refused_callers_get_places_one_behind_the_other():
-    """Symptom: all callers that were refused come back at one moment.
+def test_refused_callers_get_consecutive_retry_times():
+    """All refused callers retry at the same time.
 
-    Later places are as far apart as the limit lets requests through; a caller that
-    could not be served by the end of its wait is left to chance.
+    Retry times are as far apart as the limit admits requests; a caller that could not
+    be served within its wait gets a random time.
     """
     limited = Limited(10)
     limited.sent_count(50, for_s=2)
-    places_s = [limited.limits.come_back_after_s("app", 1.0) for _ in range(20)]
-    assert places_s[0] < places_s[1] < places_s[2] < 1.0
-    assert places_s[1] - places_s[0] == pytest.approx(places_s[0], rel=0.01)
-    assert all(0.5 <= one <= 1.0 for one in places_s[10:])
-    assert len(set(places_s)) == len(places_s)
+    retry_s = [limited.limits.come_back_after_s("app", 1.0) for _ in range(20)]
+    assert retry_s[0] < retry_s[1] < retry_s[2] < 1.0
+    assert retry_s[1] - retry_s[0] == pytest.approx(retry_s[0], rel=0.01)
+    assert all(0.5 <= one <= 1.0 for one in retry_s[10:])
+    assert len(set(retry_s)) == len(retry_s)
 
 
-def test_nothing_is_promised_where_nothing_is_taken():
-    """A caller of a server that takes nothing comes back as late as it can."""
+def test_zero_limit_gives_the_longest_retry_time():
+    """A caller of a server with a limit of 0 retries as late as it can."""
     limited = Limited(0)
     limited.limits.note_asked("app", 1)
     assert limited.limits.come_back_after_s("app", 1.5) == 1.5
 
 
 def test_unreadable_limit_is_none_and_logged_once(caplog):
-    """What can't be read must neither limit a target nor fill the log."""
+    """A malformed header must neither limit a target nor fill the log."""
     limited = Limited()
     with caplog.at_level("INFO", logger="siskinthread"):
         for _ in range(3):
@@ -261,18 +260,18 @@
 
 
 def test_target_that_is_gone_is_forgotten():
-    """Another server may get its address, never its limit."""
+    """Another server may get its address, but not its limit."""
     limited = Limited(0)
     limited.limits.forget("i-1")
     assert limited.limits.admitted([TARGET], "app", 1)
     assert limited.limits.statements() == []
 
 
-def test_entries_do_not_keep_a_limit_alive_by_telling_one_another():
-    """Symptom: news tell for ever of limits of targets that are gone.
+def test_hosts_do_not_keep_a_limit_alive_by_exchanging_it():
+    """Limits of targets that are gone are reported for ever.
 
-    Events: a target is gone; an entry that has forgotten its limit hears of it from
-    one that has not, and goes on to tell others.  Nobody has an answer of the target.
+    A host that has forgotten the limit of a vanished target receives it from a peer
+    that has not, and reports it again, without any answer of the target.
     """
     first, second = Limited(2), Limited()
     first.limits.forget("i-1")
@@ -288,8 +287,8 @@
     assert first.limits.statements() == []
 
 
-def test_limits_that_are_remembered_are_bounded():
-    """As many servers as there may ever be don't fill the memory."""
+def test_number_of_limits_is_bounded():
+    """The state does not grow with the number of targets ever seen."""
     settings = TargetLimitSettings(targets_limit=3)
     limits = TargetLimits(settings, clock(), random.Random(1))
     for number in range(5):
