--- a/siskinthread/poison_requests/__init__.py
+++ b/siskinthread/poison_requests/__init__.py
@@ -1,15 +1,18 @@
-"""Requests under which targets end, and that must not be sent to any more of them.
+"""Detection of requests and prompt parts that crash targets.
 
-Interface: ``fingerprint(host, path, caller, body)`` names a request by what its
-caller's new tries have in common.  ``PoisonRegister(settings, clock)`` has ``async
-target_ended(fingerprint, instance_id)``, ``async answered(fingerprint)`` and
-``kept_off_until(fingerprint)``; entries tell one another its ``statements()``, which
-``async hear(statements, told_by)`` takes.  ``part_name(service_name, part_id)`` names a
-part of prompts in the same register; ``PartGuard(settings, clock, register)`` decides
-by ``admit(service_name, names)`` whether a request with such parts may be sent.
-``PoisonFollower(source, register, settings, clock, turns)`` keeps the register in step
-with a store by ``async read()`` and ``async write()``; ``WriteTurns(settings, random)``
-says when this entry goes first.
+``fingerprint(host, path, caller, body)`` identifies a request by what its retries have
+in common.  `PoisonRegister` keeps the suspected requests.  ``async
+target_ended(fingerprint, instance_id)`` and ``async answered(fingerprint)`` report the
+results of requests, and ``blocked_until(fingerprint)`` returns until when a request is
+blocked.  Hosts exchange its ``statements()``, which ``async hear(statements, source)``
+applies.
+
+``part_name(service_name, part_id)`` identifies a prompt part in the same register.
+`PartGuard` decides by ``admit(service_name, names)`` whether a request with such parts
+may be sent.
+
+`PoisonFollower` synchronises the register with a store by ``async read()`` and ``async
+write()``; `WriteTurns` determines when this host may write.
 """
 
 from siskinthread.poison_requests._fingerprint import fingerprint
--- a/siskinthread/poison_requests/_answered_parts.py
+++ b/siskinthread/poison_requests/_answered_parts.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts have been answered in full."""
+"""Which prompt parts have been answered in full."""
 
 from collections import OrderedDict
 
@@ -9,7 +9,7 @@
     Parameters
     ----------
     settings : PoisonSettings
-        How many are remembered.
+        How many parts are remembered.
     """
 
     __slots__ = ("_names", "_settings")
@@ -19,12 +19,12 @@
         self._names = OrderedDict()
 
     def note(self, name):
-        """Note that a request with a part was answered."""
+        """Record that a request with a part was answered."""
         self._names[name] = True
         self._names.move_to_end(name)
         if len(self._names) > self._settings.answered_parts_limit:
             self._names.popitem(last=False)
 
     def knows(self, name):
-        """Return whether a request with a part was answered, as far as remembered."""
+        """Return whether a request with a part is known to have been answered."""
         return name in self._names
--- a/siskinthread/poison_requests/_fingerprint.py
+++ b/siskinthread/poison_requests/_fingerprint.py
@@ -1,39 +1,39 @@
-"""Names of requests that stay the same over a caller's tries."""
+"""Names of requests that are the same for each retry of a caller."""
 
 import hashlib
 
-# 2^48 fingerprints give two of a million requests the same one with a chance of 1 in
-# 500; twice as many bytes leave none to speak of and are still short in news.
+# With 2^48 fingerprints, two of a million requests collide with a probability of 1 in
+# 500; twice as many bytes make collisions negligible and are still short in datagrams.
 FINGERPRINT_BYTES = 12
 LENGTH_BYTES = 8
 
 
 def fingerprint(host, path, caller, body):
-    """Return the name of a request, hexadecimal.
+    """Return the fingerprint of a request, hexadecimal.
 
     Parameters
     ----------
     host : str
-        Name of the service that the caller asked for.
+        Name of the service in the request.
     path : str
-        Path; a query behind it does not count.
+        Path; a query is ignored.
     caller : str
-        Client account; without it, a caller would have another's request refused by
-        sending the same one.
+        Client account; without it, a caller could have another caller's request
+        blocked by sending the same one.
     body : bytes
         The body.
 
     Returns
     -------
     str
-        The same for each try of a request, at any entry.  The id, the method, the query
-        and the other headers don't count: a caller gives each try another id, and may
+        The same for each retry of a request, on any host.  The id, the method, the
+        query and the other headers are ignored: each retry has another id, and may
         state another deadline, page, hint or last event.
     """
     path = path.partition("?")[0]
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (host.lower().encode(), path.encode(), caller.encode(), body):
-        # With the lengths, no two different requests give the same bytes.
+        # The lengths keep the encoding of different requests distinct.
         digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
         digest.update(part)
     return digest.hexdigest()
--- a/siskinthread/poison_requests/_following.py
+++ b/siskinthread/poison_requests/_following.py
@@ -1,12 +1,12 @@
-"""Keeping what is known of suspected requests in a store, and following it there.
+"""Synchronisation of suspected requests with a store.
 
-News between entries are lost with the processes; what has been learnt at the cost of
-three targets must outlast a restart of all entries, and reach one that hears of no
+Statements between hosts are lost with the processes; what was learnt from three crashed
+targets must outlast a restart of all hosts, and reach a host that receives from no
 other.
 
-The entry that has learnt something by itself writes it at once.  What the store lacks
-for longer, since that entry is gone or the store has lost it, any entry writes that
-knows it: one of them, in turn, and only if the store holds nothing unread.
+The host that has observed something itself writes it at once.  What the store lacks for
+longer, because that host is gone or the store has lost it, is written by any host that
+knows it: by one of them, in turn, and only if the store holds nothing unread.
 """
 
 import curio
@@ -22,36 +22,36 @@
 
 _logger = part_logger("poison_requests")
 
-TOLD_BY = "store"
+STORE_SOURCE = "store"
 
 
 class PoisonFollower:
-    """Reads what the store has of suspected requests, and writes what it lacks.
+    """Reads the suspected requests in the store, and writes those that it lacks.
 
     Parameters
     ----------
     source : object
         ``async read_all()`` returns `StoredChange` objects and a position; ``async
         read_changes(position, wait_s)`` those behind it and the next position;
-        ``write_at(position)`` lets later writes take place only if nothing is behind
-        that position; ``async write(changes)`` writes some.  All calls raise
+        ``write_at(position)`` makes later writes fail if there are changes behind that
+        position; ``async write(changes)`` writes changes.  All calls raise
         `PlatformUnavailableError`, ``read_changes`` also `PositionExpiredError`,
         ``write`` both and `RecordsUnreadError`.
     register : PoisonRegister
-        Where they are noted.
+        The register to synchronise.
     settings : PoisonSettings
         Times.
     clock : siskinthread.timing.Clock
         Clock of the waits.
     turns : WriteTurns
-        Decides when this entry may write what others know as well.
+        Decides when this host may write what others know as well.
 
     Attributes
     ----------
     readers : object or None
-        Other entries that may read for this one: ``async rest()`` rests and returns
-        True while they do, ``note_read(position)`` and ``note_lost()`` are told what
-        the source answers, ``is_to_ask_at_once()`` tells whether others wait for that.
+        Other hosts that may read for this one: ``async rest()`` waits and returns True
+        while they do, ``note_read(position)`` and ``note_lost()`` get the result of a
+        read, ``is_to_ask_at_once()`` tells whether others wait for that result.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
         "_settings",
         "_source",
         "_turns",
-        "_was_read",
+        "_is_loaded",
         "_write_turn",
         "readers",
     )
@@ -71,19 +71,19 @@
         self._source = source
         self._clock = clock
         self._turns = turns
-        # From which on this entry may write what others know as well; None if the
-        # store lacked nothing when that was looked at last.
+        # From when on this host may write what others know as well; None if the
+        # store lacked nothing at the last check.
         self._write_turn = None
         self._register = register
         self._settings = settings
-        # Up to where changes have been noted; None until all have been read.
+        # Position up to which changes were applied; None until all were read.
         self._position = None
-        self._was_read = curio.Event()
+        self._is_loaded = curio.Event()
         self._is_lost = False
         self.readers = None
 
     async def read(self):
-        """Follow the store for ever."""
+        """Read changes of the store, indefinitely."""
         while True:
             may_rest = self.readers is not None and not self._is_lost
             if may_rest and await self.readers.rest():
@@ -91,33 +91,33 @@
             try:
                 changes, position = await self._read()
             except PlatformUnavailableError as error:
-                self._note_lost(error)
+                self._note_unavailable(error)
                 await curio.sleep(self._settings.store_retry_s)
                 continue
             except PositionExpiredError as error:
                 await self._note_expired(error)
                 continue
             if self._is_lost:
-                # The others get an answer again at about the same moment.
+                # The other hosts get an answer again at about the same time.
                 self._is_lost = False
                 self._write_turn = None
-            if not self._was_read.is_set():
-                # Some entries may have got no answer for seconds.
+            if not self._is_loaded.is_set():
+                # Some hosts may have got no answer for seconds.
                 self._write_turn = self._next_turn(first_wait_s=0.0)
-            await self._take_all(changes, position)
+            await self._apply_all(changes, position)
             if changes:
                 await curio.sleep(self._settings.store_pause_s)
 
     async def write(self):
-        """Write what is due, for ever."""
+        """Write what is due, indefinitely."""
         while True:
-            await self._was_read.wait()
+            await self._is_loaded.wait()
             is_in_turn = await self._wait_for_turn()
-            if not self._was_read.is_set():
-                # What is due may have changed, and whose turn it is.
+            if not self._is_loaded.is_set():
+                # What is due may have changed, and also whose turn it is.
                 continue
             due = self._register.due_writes(is_in_turn)
-            # A store that this entry can't read may have it all.
+            # A store that this host can't read may already have everything.
             if due and not (is_in_turn and self._is_lost):
                 await self._write(due)
             await curio.sleep(self._settings.store_pause_s)
@@ -128,7 +128,7 @@
         Returns
         -------
         bool
-            Whether this entry may write what others know as well.
+            Whether this host may write what others know as well.
         """
         is_write_due = self._register.is_write_due
         while not self._register.due_writes(is_in_turn=False):
@@ -136,7 +136,7 @@
                 self._write_turn = None
                 await is_write_due.wait()
             elif self._write_turn is None:
-                # Whoever learnt it by itself goes first.
+                # The host that observed the crash writes first.
                 self._write_turn = self._next_turn(self._settings.write_step_s)
             else:
                 await curio.ignore_after(self._write_turn.left_s(), is_write_due.wait)
@@ -151,7 +151,7 @@
             await self._source.write(changes)
         except RecordsUnreadError as error:
             _logger.event("suspected requests are read first", reason=str(error))
-            await self._read_behind()
+            await self._read_unread()
         except (PlatformUnavailableError, SourceRestoredError) as error:
             _logger.event("suspected requests not stored", reason=str(error))
             self._write_turn = None
@@ -161,14 +161,14 @@
                 self._register.note_written(fingerprint, statement)
             _logger.event("suspected requests stored", fingerprints=sorted(due))
 
-    async def _read_behind(self):
-        """Read what others have written, though a read waits for that already.
+    async def _read_unread(self):
+        """Read what others have written, although another read waits for changes.
 
-        A read that reached the store while it was away may never be answered.
+        A read that reached the store during an outage may never be answered.
         """
         if self._position is None:
-            # The history was dropped during the write; all is read anew, which the
-            # next write waits for.
+            # The history was dropped during the write; everything is read again, which
+            # the next write waits for.
             return
         try:
             changes, position = await self._source.read_changes(self._position, 0.0)
@@ -177,14 +177,14 @@
             self._write_turn = None
             await curio.sleep(self._settings.store_retry_s)
             return
-        await self._take_all(changes, position)
+        await self._apply_all(changes, position)
 
     async def _note_expired(self, error):
         _logger.event("suspected requests are read anew", reason=str(error))
         self._position = None
         if self.readers is not None:
             self.readers.note_lost()
-        self._was_read.clear()
+        self._is_loaded.clear()
         if isinstance(error, SourceRestoredError):
             await self._note_restored()
 
@@ -199,30 +199,30 @@
     async def _read(self):
         if self._position is None:
             return await self._source.read_all()
-        # A store that has just failed is asked for an answer at once.
+        # A store that has just failed must answer without waiting for a change.
         is_urgent = self._is_lost
         if self.readers is not None:
             is_urgent |= self.readers.is_to_ask_at_once()
         wait_s = 0.0 if is_urgent else self._settings.store_wait_s
         return await self._source.read_changes(self._position, wait_s)
 
-    async def _take_all(self, changes, position):
+    async def _apply_all(self, changes, position):
         for change in changes:
-            await self._take(change)
+            await self._apply(change)
         if self._position is None or self._position.is_behind(position):
             self._position = position
             self._source.write_at(position)
         if self.readers is not None:
             self.readers.note_read(self._position)
-        await self._was_read.set()
+        await self._is_loaded.set()
 
-    async def _take(self, change):
+    async def _apply(self, change):
         if change.statement is None:
-            await self._register.note_dropped(change.fingerprint, TOLD_BY)
+            await self._register.note_dropped(change.fingerprint, STORE_SOURCE)
         else:
-            await self._register.note_stored(change.statement, TOLD_BY)
+            await self._register.note_stored(change.statement, STORE_SOURCE)
 
-    def _note_lost(self, error):
+    def _note_unavailable(self, error):
         if not self._is_lost:
             _logger.event("store of suspected requests lost", reason=str(error))
         self._is_lost = True
@@ -231,14 +231,14 @@
 
 
 class StoredChange:
-    """What the store has of one request.
+    """The record of one request in the store.
 
     Parameters
     ----------
     fingerprint : str
         The request.
     statement : SuspectStatement or None
-        What is known of it; None if it was dropped.
+        The record; None if it was dropped.
     """
 
     __slots__ = ("fingerprint", "statement")
--- a/siskinthread/poison_requests/_part_guard.py
+++ b/siskinthread/poison_requests/_part_guard.py
@@ -1,4 +1,4 @@
-"""Which requests may be sent although a part of their prompts is suspected."""
+"""Which requests may be sent although one of their prompt parts is suspected."""
 
 from siskinthread.observability import part_logger
 from siskinthread.poison_requests._suspicion import Suspicion
@@ -7,16 +7,16 @@
 
 _logger = part_logger("poison_requests")
 
-# The number of hosts that may try doubles no further; 4,096 are more than any fleet.
+# Limit on the doublings of the hosts that may run a trial: 4,096 exceed any fleet.
 DOUBLINGS_LIMIT = 12
-# Steps of the order of tries after which a refused caller may come back.
-RETURN_STEPS = 2
-# Usual parts of which a log line has told.
+# Trial steps after which a refused caller may retry.
+RETRY_STEPS = 2
+# Maximum number of parts whose exemption is logged.
 LOGGED_LIMIT = 256
 
 
 class PartTrial:
-    """A request that is sent to find out whether suspected parts end targets.
+    """A request that is sent to find out whether suspected parts crash targets.
 
     Parameters
     ----------
@@ -35,12 +35,12 @@
 
     Parameters
     ----------
-    kept_off_until : siskinthread.timing.Deadline or None
-        When its caller may come back; None if it may be sent.
+    blocked_until : siskinthread.timing.Deadline or None
+        When its caller may retry; None if the request may be sent.
     part : str
-        The part for which it may not.
+        The part because of which the request may not be sent.
     trial : PartTrial or None
-        That it is a try, which is to be released at its end.
+        The trial if the request is one; to be released at its end.
     """
 
     __slots__ = ("kept_off_until", "part", "trial")
@@ -55,7 +55,7 @@
 
 
 class PartGuard:
-    """Keeps requests with parts of prompts that end targets from them.
+    """Blocks requests with prompt parts that crash targets.
 
     Parameters
     ----------
@@ -64,25 +64,25 @@
     clock : siskinthread.timing.Clock
         Clock of the times.
     register : PoisonRegister
-        What all entries know of suspected parts.
+        What all hosts know of suspected parts.
 
     Attributes
     ----------
     peers : siskinthread.peer_news.PeerNews or None
-        Tells which place this entry has in an order that all find alike.
+        Provides this host's position in an order that is the same on all hosts.
 
     Notes
     -----
-    Symptom without this: requests no two of which were alike, with one part in common,
-    ended 17 servers within 35 s, and while groups formed anew one request in nine was
-    answered in time.
+    Without this guard, different requests with one part in common crashed 17 servers
+    within 35 s, and while groups re-formed only one request in nine was answered in
+    time.
     """
 
     __slots__ = (
         "_clock",
-        "_logged",
-        "_present",
-        "_present_change_count",
+        "_logged_names",
+        "_cached_suspicion",
+        "_cached_change_count",
         "_register",
         "_settings",
         "_under_trial",
@@ -95,15 +95,15 @@
         self._clock = clock
         self._register = register
         self._usual = UsualParts(settings)
-        # Suspected parts that a request of this entry tries now.
+        # Suspected parts in a trial of this host.
         self._under_trial = set()
-        self._logged = set()
-        self._present = None
-        self._present_change_count = 0
+        self._logged_names = set()
+        self._cached_suspicion = None
+        self._cached_change_count = 0
         self.peers = None
 
     def note_asked(self, service_name, names):
-        """Note a request that has come, with the names of its shared parts."""
+        """Record a request that has arrived, with the names of its shared parts."""
         if names:
             self._usual.note(service_name, names)
 
@@ -134,11 +134,11 @@
         return self._try(suspicion, suspects)
 
     def release(self, trial):
-        """Note that a try is over, whatever came of it."""
+        """Record the end of a trial, whatever its result."""
         self._under_trial -= trial.names
 
     async def target_ended(self, names, instance_id, trial):
-        """Note that a target has ended under a request of this entry.
+        """Record that a target crashed during a request of this host.
 
         Parameters
         ----------
@@ -147,7 +147,7 @@
         instance_id : str
             The target.
         trial : PartTrial or None
-            That the request was a try.
+            The trial if the request was one.
         """
         tried = trial.names if trial is not None else frozenset()
         for name in self._candidates(names):
@@ -156,20 +156,22 @@
             )
 
     async def answered(self, names):
-        """Note that a target has answered a request in full."""
+        """Record that a target has answered a request in full."""
         for name in names:
             await self._register.part_answered(name)
 
     def _suspicion(self):
-        """Return the present `Suspicion`, which is made anew after each change."""
+        """Return the current `Suspicion`, which is rebuilt after each change."""
         change_count = self._register.change_count
-        if self._present is None or self._present_change_count != change_count:
-            self._present = Suspicion(self._settings, self._register.suspected_parts())
-            self._present_change_count = change_count
-        return self._present
+        if self._cached_suspicion is None or self._cached_change_count != change_count:
+            self._cached_suspicion = Suspicion(
+                self._settings, self._register.suspected_parts()
+            )
+            self._cached_change_count = change_count
+        return self._cached_suspicion
 
     def _candidates(self, names):
-        """Return the parts to note for an end, those that are most probable first."""
+        """Return the parts to record for a crash, the most probable causes first."""
         register = self._register
         ordered = sorted(
             names,
@@ -181,13 +183,16 @@
         return ordered[: self._settings.candidate_limit]
 
     def _is_exempt(self, service_name, suspect):
-        """Return whether a part is in so many requests that they must not stop."""
+        """Return whether a part is in too many requests to be blocked."""
         if not suspect.was_answered:
             return False
         if not self._usual.is_usual(service_name, suspect.fingerprint):
             return False
-        if suspect.fingerprint not in self._logged and len(self._logged) < LOGGED_LIMIT:
-            self._logged.add(suspect.fingerprint)
+        if (
+            suspect.fingerprint not in self._logged_names
+            and len(self._logged_names) < LOGGED_LIMIT
+        ):
+            self._logged_names.add(suspect.fingerprint)
             _logger.event(
                 "part is in most requests and not kept off",
                 part=suspect.fingerprint,
@@ -202,21 +207,21 @@
         settings = self._settings
         names = frozenset(one.fingerprint for one in suspects)
         part = min(names)
-        shown_at_s = suspicion.shown_at_s(suspects, names)
+        confirmed_at_s = suspicion.confirmed_at_s(suspects, names)
         last_at_s = max(one.last_at_s for one in suspects)
         first_at_s = last_at_s + settings.trial_wait_s
-        if shown_at_s is not None:
-            first_at_s = max(first_at_s, shown_at_s + settings.keep_off_s)
+        if confirmed_at_s is not None:
+            first_at_s = max(first_at_s, confirmed_at_s + settings.keep_off_s)
         elif len(suspects) > 1:
             first_at_s += settings.joint_trial_wait_s
         step_s = settings.trial_step_s
         if now_s < first_at_s:
-            is_shown = shown_at_s is not None
-            until_s = first_at_s + (0 if is_shown else RETURN_STEPS * step_s)
+            is_confirmed = confirmed_at_s is not None
+            until_s = first_at_s + (0 if is_confirmed else RETRY_STEPS * step_s)
             return Admission(Deadline(self._clock, until_s), part)
         doublings = min((now_s - first_at_s) // step_s, DOUBLINGS_LIMIT)
         if names & self._under_trial or self._turn(part) >= 2**doublings:
-            until_s = now_s + RETURN_STEPS * step_s
+            until_s = now_s + RETRY_STEPS * step_s
             return Admission(Deadline(self._clock, until_s), part)
         self._under_trial |= names
         _logger.event("suspected part is tried", parts=sorted(names))
--- a/siskinthread/poison_requests/_part_names.py
+++ b/siskinthread/poison_requests/_part_names.py
@@ -1,4 +1,4 @@
-"""Names of parts of prompts, beside those of whole requests."""
+"""Names of prompt parts, distinct from the fingerprints of requests."""
 
 import hashlib
 
@@ -7,29 +7,29 @@
 
 
 def part_name(service_name, part_id):
-    """Return the name under which a part of prompts is suspected.
+    """Return the name of a prompt part.
 
     Parameters
     ----------
     service_name : str
-        Service whose targets read it; another one may bear it.
+        Service whose targets read the part; those of other services may tolerate it.
     part_id : str
         The part.
 
     Returns
     -------
     str
-        The same at any entry, and unlike the fingerprint of any request.
+        The same on any host, and different from the fingerprint of any request.
     """
     digest = hashlib.blake2b(digest_size=NAME_BYTES)
     for text in (service_name, part_id):
         data = text.encode()
-        # With the lengths, no two different pairs give the same bytes.
+        # The lengths keep the encoding of different pairs distinct.
         digest.update(len(data).to_bytes(4, "big"))
         digest.update(data)
     return PART_PREFIX + digest.hexdigest()
 
 
 def is_part(name):
-    """Return whether a name in the register is that of a part of prompts."""
+    """Return whether a name in the register belongs to a prompt part."""
     return name.startswith(PART_PREFIX)
--- a/siskinthread/poison_requests/_statements.py
+++ b/siskinthread/poison_requests/_statements.py
@@ -1,38 +1,38 @@
-"""What entries tell one another, and the store, of a suspected request."""
+"""Statements on suspected requests for peers and for the store."""
 
 import hashlib
 
 from siskinthread.errors import ProtocolError
 
 TAG_BYTES = 4
-# More than the ends after which a request is kept off, and than tries under way add.
+# Exceeds the crashes that block a request plus the trials under way.
 ENDS_LIMIT = 8
 TENTHS_PER_SECOND = 10
-# Bits of an end's mark.
+# Bits of the mark of a crash.
 CLEARED_BIT = 1
 TRIAL_BIT = 2
 ANSWERED_BIT = 4
 
 
 def tag_of(instance_id):
-    """Return a short name of a start of a target, which others reckon alike."""
+    """Return a short name of an instance of a target, the same on all hosts."""
     digest = hashlib.blake2b(instance_id.encode(), digest_size=TAG_BYTES)
     return digest.hexdigest()
 
 
 class EndStatement:
-    """That a target has ended under a request.
+    """States that a target has crashed during a request.
 
     Parameters
     ----------
     tag : str
-        Names the start of the target.
+        Name of the target's instance, see `tag_of`.
     age_s : float
-        Time since it ended, seconds.
+        Time since the crash, seconds.
     is_cleared : bool
-        Whether it does not count any more, since the request was answered.
+        Whether the crash no longer counts, since the request was answered later.
     is_trial : bool
-        Whether it ended under a try of what was suspected already.
+        Whether the request was a trial of a suspected part.
     """
 
     __slots__ = ("age_s", "is_cleared", "is_trial", "tag")
@@ -45,14 +45,14 @@
 
 
 class SuspectStatement:
-    """What an entry knows of a suspected request or part of prompts.
+    """What a host knows of a suspected request or prompt part.
 
     Parameters
     ----------
     fingerprint : str
-        The request, or the name of the part.
+        Fingerprint of the request, or name of the part.
     ends : list of EndStatement
-        Targets that have ended under it.
+        Targets that have crashed during the request.
     was_answered : bool
         Whether a request with the part has ever been answered in full, as far as is
         remembered.
@@ -66,12 +66,12 @@
         self.was_answered = was_answered
 
     def key(self):
-        """Return a value that differs if this would tell something new."""
+        """Return a value that changes with the information in the statement."""
         marks = sorted((end.tag, self._mark(end)) for end in self.ends)
         return self.fingerprint, tuple(marks)
 
-    def tells_all_of(self, other):
-        """Return whether another statement holds nothing beyond this one."""
+    def covers(self, other):
+        """Return whether this statement includes all information of another one."""
         own = {end.tag: self._mark(end) for end in self.ends}
         return all(
             end.tag in own and not other._mark(end) & ~own[end.tag]
@@ -79,7 +79,7 @@
         )
 
     def as_rows(self):
-        """Return the ends as a JSON value."""
+        """Return the crashes as a JSON value."""
         return [
             [end.tag, round(end.age_s * TENTHS_PER_SECOND), self._mark(end)]
             for end in self.ends
@@ -99,7 +99,7 @@
         Raises
         ------
         ProtocolError
-            If it is none.
+            If the value is malformed.
         """
         try:
             marks = 0
--- a/siskinthread/poison_requests/_suspect.py
+++ b/siskinthread/poison_requests/_suspect.py
@@ -1,4 +1,4 @@
-"""One suspected request or part: the targets that have ended under it."""
+"""One suspected request or prompt part, and the targets that crashed during it."""
 
 from siskinthread.poison_requests._statements import (
     ENDS_LIMIT,
@@ -8,7 +8,7 @@
 
 
 class _End:
-    """The end of a target."""
+    """The crash of a target."""
 
     __slots__ = ("at_s", "is_cleared", "is_trial")
 
@@ -19,38 +19,40 @@
 
 
 class Suspect:
-    """What is known of a request, or part of prompts, under which targets have ended.
+    """Crashes of targets during one request, or during requests with one prompt part.
 
     Parameters
     ----------
     fingerprint : str
-        The request, or the name of the part.
+        Fingerprint of the request, or name of the part.
 
     Attributes
     ----------
     changed_at_s : float
-        When something new was learnt, monotonic seconds.
-    is_author : bool
-        Whether this entry has learnt by itself something that the store may lack.
+        Time of the last change, monotonic seconds.
+    is_observer : bool
+        Whether this host has itself observed something that the store may lack.
     stored_marks : frozenset of tuple of str, bool
-        The ends that the store is known to have, as in `counting_marks`.
+        The crashes that the store is known to have, as in `counting_marks`.
     was_answered : bool
-        Whether a request with the part has been answered in full, within memory.
-    is_awaited : bool
-        Whether another entry has told of it and does not know that it was answered.
+        Whether a request with the part has been answered in full, as far as is
+        remembered.
+    is_peer_unaware : bool
+        Whether another host has reported the part without knowing that it was
+        answered.
 
     Notes
     -----
-    Ends are kept by the start of the target, and once cleared stay so.  So entries may
-    tell one another in any order, and more than once, and come to the same.
+    Crashes are keyed by the instance of the target and stay cleared once cleared, so
+    merging statements is commutative and idempotent.
     """
 
     __slots__ = (
         "_ends",
         "changed_at_s",
         "fingerprint",
-        "is_author",
-        "is_awaited",
+        "is_observer",
+        "is_peer_unaware",
         "stored_marks",
         "was_answered",
     )
@@ -59,13 +61,13 @@
         self.fingerprint = fingerprint
         self._ends = {}
         self.changed_at_s = 0.0
-        self.is_author = False
+        self.is_observer = False
         self.stored_marks = frozenset()
         self.was_answered = False
-        self.is_awaited = False
+        self.is_peer_unaware = False
 
     def add(self, tag, at_s, is_cleared, is_trial=False):
-        """Take an end in; return whether that is new."""
+        """Add a crash; return whether it changes anything."""
         known = self._ends.get(tag)
         if known is None:
             self._ends[tag] = _End(at_s, is_cleared, is_trial)
@@ -79,7 +81,7 @@
         return is_new
 
     def merge(self, statement, now_s):
-        """Take what another one states; return whether anything of it is new."""
+        """Apply a statement; return whether it changes anything."""
         is_new = statement.was_answered and not self.was_answered
         self.was_answered = self.was_answered or statement.was_answered
         for end in statement.ends:
@@ -88,34 +90,34 @@
         return is_new
 
     def clear(self):
-        """Let no end so far count any more; return whether one did."""
+        """Clear all crashes so far; return whether any of them counted."""
         counting = [end for end in self._ends.values() if not end.is_cleared]
         for end in counting:
             end.is_cleared = True
         return bool(counting)
 
     def note_stored(self, marks):
-        """Note which ends the store has; it may have all that this entry has learnt."""
+        """Record the crashes that the store has; these may be all that are known."""
         self.stored_marks = frozenset(marks)
         if self.stored_marks == self.counting_marks():
-            self.is_author = False
+            self.is_observer = False
 
     def counting_tags(self):
-        """Return the names of the ends that count."""
+        """Return the tags of the crashes that count."""
         return frozenset(tag for tag, end in self._ends.items() if not end.is_cleared)
 
     def counting_marks(self):
-        """Return the names of the ends that count, and whether they were of tries."""
+        """Return the tags of the crashes that count, and whether each is of a trial."""
         return frozenset(
             (tag, end.is_trial) for tag, end in self._ends.items() if not end.is_cleared
         )
 
     def counting_ends(self):
-        """Return the times of the ends that count, monotonic seconds, by tag."""
+        """Return the times of the crashes that count, monotonic seconds, by tag."""
         return {tag: end.at_s for tag, end in self._ends.items() if not end.is_cleared}
 
     def trial_tags(self):
-        """Return the names of the ends that count and were those of tries."""
+        """Return the tags of the crashes that count and happened in trials."""
         return frozenset(
             tag
             for tag, end in self._ends.items()
@@ -124,11 +126,11 @@
 
     @property
     def last_at_s(self):
-        """When the newest end came, monotonic seconds."""
+        """When the newest crash happened, monotonic seconds."""
         return max(end.at_s for end in self._ends.values())
 
     def statement(self, now_s):
-        """Return the `SuspectStatement` of this moment."""
+        """Return the current `SuspectStatement`."""
         ends = [
             EndStatement(tag, max(0.0, now_s - end.at_s), end.is_cleared, end.is_trial)
             for tag, end in self._ends.items()
@@ -136,9 +138,9 @@
         return SuspectStatement(self.fingerprint, ends, self.was_answered)
 
     def _drop_oldest(self):
-        """Keep the newest ends only, and those of tries longest.
+        """Keep the newest crashes only, and those in trials longest.
 
-        A record must not grow, and what a try has shown must not be forgotten for ends
+        The record is bounded, and the result of a trial must not be evicted by crashes
         that it explains.
         """
         while len(self._ends) > ENDS_LIMIT:
--- a/siskinthread/poison_requests/_usual_parts.py
+++ b/siskinthread/poison_requests/_usual_parts.py
@@ -1,8 +1,8 @@
-"""How many of a service's requests have a part of prompts."""
+"""How frequent prompt parts are in a service's requests."""
 
 from collections import deque
 
-# Services whose requests are counted; of more, those that come last are not.
+# Maximum number of services whose requests are counted; later services are not.
 SERVICES_LIMIT = 64
 
 
@@ -19,11 +19,11 @@
 
     def __init__(self, settings):
         self._settings = settings
-        # Names of the parts of each of the last requests, by service.
+        # Names of the parts of each recent request, by service.
         self._requests = {}
 
     def note(self, service_name, names):
-        """Note a request that has come.
+        """Record a request that has arrived.
 
         Parameters
         ----------
@@ -41,7 +41,7 @@
         requests.append(names)
 
     def is_usual(self, service_name, name):
-        """Return whether most of the last requests of a service have a part."""
+        """Return whether a part exceeds `usual_share` of a service's requests."""
         requests = self._requests.get(service_name, ())
         count = sum(name in names for names in requests)
         return count > self._settings.usual_share * len(requests)
--- a/siskinthread/poison_requests/_write_turns.py
+++ b/siskinthread/poison_requests/_write_turns.py
@@ -1,31 +1,33 @@
-"""When an entry may write what all entries know and the store lacks."""
+"""When a host may write records that all hosts know and the store lacks."""
 
 import math
 
-# Entries that the spread is meant for; of more, several would choose the same moment.
-FLEET_COUNT = 400
-# Name by which all entries find the same order.
+# Number of hosts for which the spread is sized; with more, several choose the same
+# time.
+SPREAD_HOST_COUNT = 400
+# Name of the order of hosts, which is the same on all hosts.
 MATTER = "suspects"
 
 
 class WriteTurns:
-    """Lets entries take their turns at a write that one of them should make.
+    """Lets hosts take turns at a write that one of them should make.
 
     Parameters
     ----------
     settings : PoisonSettings
         Times.
     random : random.Random
-        Spreads the turns of entries that have no place in the order.
+        Spreads the turns of hosts without a position in the order.
 
     Attributes
     ----------
     peers : siskinthread.peer_news.PeerNews or None
-        Tells which place this entry has in an order that all find alike.
+        Provides this host's position in an order that is the same on all hosts.
 
     Notes
     -----
-    Evenly drawn turns would coincide more often the more entries there are.
+    With uniformly random turns, collisions would become more frequent with the number
+    of hosts.
     """
 
     __slots__ = ("_random", "_settings", "peers")
@@ -36,7 +38,7 @@
         self.peers = None
 
     def wait_s(self):
-        """Return how long this entry leaves the write to others, seconds."""
+        """Return how long this host leaves the write to others, seconds."""
         settings = self._settings
         if self.peers is None or not self.peers.hears_others():
             return self._spread_s()
@@ -46,11 +48,11 @@
         return settings.write_steps_limit * settings.write_step_s + self._spread_s()
 
     def _spread_s(self):
-        """Return a random time within the spread, whose density rises exponentially.
+        """Return a random time within the spread, with exponentially rising density.
 
-        Few entries choose early times, so that the first one is seldom followed at
-        once, whatever their number.
+        Few hosts choose early times, so the first one is seldom followed at once,
+        whatever the number of hosts.
         """
-        rate = math.log(FLEET_COUNT) + 1
+        rate = math.log(SPREAD_HOST_COUNT) + 1
         share = math.log1p(self._random.random() * math.expm1(rate)) / rate
         return self._settings.write_spread_s * share
--- a/siskinthread/poison_requests/tests/__init__.py
+++ b/siskinthread/poison_requests/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the guard against requests under which targets end."""
+"""Tests of the guard against requests that crash targets."""
--- a/siskinthread/poison_requests/tests/test_following.py
+++ b/siskinthread/poison_requests/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Following the store of suspected requests."""
+"""Synchronisation with the store of suspected requests."""
 
 import random
 
@@ -26,7 +26,7 @@
         self._is_expired = False
 
     async def read_all(self):
-        """Return no records, after a while."""
+        """Return no records, after a delay."""
         await curio.sleep(0.1 if self._is_expired else 0.0)
         return [], Position(1, 0)
 
@@ -41,7 +41,7 @@
         return [], position
 
     def write_at(self, position):
-        """Take where the next records are written."""
+        """Accept the position of later writes."""
 
     async def write(self, changes):
         """Refuse the first write once the history was dropped."""
@@ -52,8 +52,8 @@
             raise RecordsUnreadError("records behind the position")
 
 
-def test_history_dropped_during_a_write_ends_no_host():
-    """Guards against a read behind a position that another task has given up."""
+def test_history_dropped_during_a_write_does_not_end_the_follower():
+    """A read used a position that another task had already discarded."""
 
     async def main():
         source = ExpiringSource()
