--- a/siskinthread/retry_budget/__init__.py
+++ b/siskinthread/retry_budget/__init__.py
@@ -1,8 +1,8 @@
-"""Budgets that bound repeats to a share of the requests.
+"""Budgets that bound retries to a share of the requests.
 
-Interface: ``RetryBudget(settings, clock)`` with ``note_request()`` and ``try_spend()``;
-the settings have ``retry_window_s``, ``retry_share`` and ``retry_floor_count``.
-`ServiceRetryBudgets` has one for each service, with the limits of a `FleetPart`.
+`RetryBudget` has ``note_request()`` and ``try_spend()``; its settings provide
+``retry_window_s``, ``retry_share`` and ``retry_floor_count``.  `ServiceRetryBudgets`
+has one budget for each service, with the limits of a `FleetShare`.
 """
 
 from siskinthread.retry_budget._fleet import FleetPart, ServiceRetryBudgets
--- a/siskinthread/retry_budget/_fleet.py
+++ b/siskinthread/retry_budget/_fleet.py
@@ -1,33 +1,34 @@
-"""A budget of retries that many entries share without asking one another."""
+"""A retry budget that many hosts share without communication about single retries."""
 
 from siskinthread.retry_budget._retry_budget import RetryBudget
 
 
 class FleetPart:
-    """The part of the fleet's limits on retries that one entry may use.
+    """The share of one host in the fleet's limits on retries.
 
-    Has the names that `RetryBudget` reads its limits by.
+    Provides the attributes that `RetryBudget` reads from its settings.
 
     Parameters
     ----------
     settings : Section
-        Limits of all entries together, and the part of them that is used.
+        Limits of all hosts together, and the fraction of them that is used.
 
     Attributes
     ----------
     peers : siskinthread.peer_news.PeerNews or None
-        Tells how many entries there are.  Without it this entry is the only one.
+        Provides the number of hosts; None if this host is the only one.
 
     Notes
     -----
-    The share needs no agreement: each entry applies it to its own requests.  The floor
-    is divided by the most entries that were ever known at once, so that an entry which
-    stops hearing of the others does not take their parts.  An entry that has just
-    started knows none of them, and has no floor until it must have heard of all.  Nor
-    has one that starts in a cut: others don't count it, and it hears its side only.
-
-    Symptom without this: 15 entries with a fixed floor of 6 each made 148 repeats in
-    10 s, of 110 that were allowed, while a failure domain was cut off.
+    The retry share needs no coordination: each host applies it to its own requests.
+    The floor is divided by the largest number of hosts that were ever known at once, so
+    that a host which loses contact to the others does not use their part.  A host that
+    has just started knows no others, and has no floor until it must have heard of all
+    hosts.  Neither has a host that starts during a cut: others don't count it, and it
+    knows only the hosts on its side.
+
+    With a fixed floor of 6 each, 15 hosts made 148 retries in 10 s where 110 were
+    allowed, while a failure domain was cut off.
     """
 
     __slots__ = ("_settings", "peers")
@@ -43,19 +44,19 @@
 
     @property
     def retry_share(self):
-        """Retries for each own request."""
+        """Retries for each request of this host."""
         return self._settings.retry_share * self._settings.retry_margin
 
     @property
     def retry_floor_count(self):
-        """Retries beside the share."""
-        entry_count = 1
+        """Retries in addition to the share."""
+        host_count = 1
         if self.peers is not None:
-            entry_count = self.peers.fleet_count()
-            if entry_count is None or not self.peers.is_roster_known():
+            host_count = self.peers.fleet_count()
+            if host_count is None or not self.peers.is_roster_known():
                 return 0.0
         floor_count = self._settings.retry_floor_count * self._settings.retry_margin
-        return floor_count / entry_count
+        return floor_count / host_count
 
 
 class ServiceRetryBudgets:
@@ -63,15 +64,15 @@
 
     Parameters
     ----------
-    limits : FleetPart
-        Limits of each.
+    limits : FleetShare
+        Limits of each budget.
     clock : siskinthread.timing.Clock
         Clock of the windows.
 
     Notes
     -----
-    Requests to one service must not pay for retries at another one, which may be the
-    one that fails under its load.
+    Requests to one service must not allow retries at another one, which may be failing
+    under its load.
     """
 
     __slots__ = ("_budgets", "_clock", "_limits")
@@ -86,7 +87,7 @@
         self._budget(service_name).note_request()
 
     def try_spend(self, service_name):
-        """Count a retry if the budget of the service allows it; return whether."""
+        """Count a retry if the service's budget allows it; return whether it does."""
         return self._budget(service_name).try_spend()
 
     def _budget(self, service_name):
--- a/siskinthread/retry_budget/_retry_budget.py
+++ b/siskinthread/retry_budget/_retry_budget.py
@@ -20,8 +20,8 @@
     Notes
     -----
     When targets fail under load, each retry adds to that load.  Unbounded retries
-    multiply it by the number of attempts and keep the targets failing after the cause
-    has gone; one would notice more attempts than requests.
+    multiply the load by the number of attempts and keep the targets failing after the
+    cause has gone; the symptom is more attempts than requests.
     """
 
     __slots__ = ("_clock", "_retry_expiries", "_settings", "_slots")
@@ -30,8 +30,8 @@
         self._settings = settings
         self._clock = clock
         self._slots = collections.deque()
-        # Until when each retry counts.  Counted by slots, a whole budget could be spent
-        # twice within a window and a slot.
+        # Expiry of each retry. Counted by slots, a whole budget could be spent twice
+        # within a window and a slot.
         self._retry_expiries = collections.deque()
 
     def note_request(self):
@@ -46,7 +46,7 @@
         bool
             Whether the retry may be made.
         """
-        self._drop_old()
+        self._drop_expired()
         request_count = sum(slot.request_count for slot in self._slots)
         settings = self._settings
         limit = settings.retry_floor_count + settings.retry_share * request_count
@@ -58,24 +58,24 @@
 
     def is_idle(self):
         """Return whether there was neither a request nor a retry in the window."""
-        self._drop_old()
+        self._drop_expired()
         return not self._slots and not self._retry_expiries
 
-    def _drop_old(self):
+    def _drop_expired(self):
         while self._slots and self._slots[0].expiry.passed():
             self._slots.popleft()
         while self._retry_expiries and self._retry_expiries[0].passed():
             self._retry_expiries.popleft()
 
     def _newest_slot(self):
-        self._drop_old()
+        self._drop_expired()
         if not self._slots or self._slots[-1].closing.passed():
             self._slots.append(_Slot(self._clock, self._settings.retry_window_s))
         return self._slots[-1]
 
 
 class _Slot:
-    """Requests of a tenth of the window."""
+    """Requests in a tenth of the window."""
 
     __slots__ = ("closing", "expiry", "request_count")
 
--- a/siskinthread/retry_budget/tests/__init__.py
+++ b/siskinthread/retry_budget/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the budgets of retries."""
+"""Tests of the retry budgets."""
--- a/siskinthread/retry_budget/tests/test_faults.py
+++ b/siskinthread/retry_budget/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Budgets of many hosts before targets that go up and down, while the network fails."""
+"""Budgets of many hosts before flapping targets, during network faults."""
 
 import bisect
 
@@ -11,16 +11,16 @@
 
 WINDOW_S = 10.0
 SHARE = 0.2
-# Requests a second, and the repeats that are allowed beside their share.
+# Requests a second, and the allowed retries in addition to their share.
 LOADS = [(40.0, 60), (10.0, 448)]
-# Targets are down for so long, then up for as long.
+# Targets are down and up for this time in turn.
 FLAP_S = 1.0
 FAULT_S = 10.0
 END_S = 26.0
 
 
 class FlappingTargets:
-    """Hosts that repeat each request that fails, as far as their budget allows it."""
+    """Hosts that retry each failed request as far as their budget allows."""
 
     def __init__(self, host_count, seed, fault, asked_per_s, floor_count):
         self._asked_per_s = asked_per_s
@@ -28,7 +28,7 @@
         self._settings = GatewaySettings(
             retry_window_s=WINDOW_S, retry_share=SHARE, retry_floor_count=floor_count
         )
-        self.requests_s, self.repeats_s = [], []
+        self.requests_s, self.retries_s = [], []
         self.fleet = ScriptedFleet(self._build, host_count, seed)
         at = self.fleet.at
         at(0.0, self._request)
@@ -42,23 +42,23 @@
         self.fleet.run(END_S)
 
     def worst_excess(self):
-        """Return the most repeats of a window beyond what it allows."""
+        """Return the largest excess of retries in a window over the limit."""
         worst = -self._floor_count
-        for number, end_s in enumerate(self.repeats_s):
+        for number, end_s in enumerate(self.retries_s):
             begin_s = end_s - WINDOW_S
-            repeat_count = number + 1 - bisect.bisect_right(self.repeats_s, begin_s)
+            retry_count = number + 1 - bisect.bisect_right(self.retries_s, begin_s)
             request_count = bisect.bisect_right(
                 self.requests_s, end_s
             ) - bisect.bisect_right(self.requests_s, begin_s)
-            worst = max(worst, repeat_count - SHARE * request_count - self._floor_count)
+            worst = max(worst, retry_count - SHARE * request_count - self._floor_count)
         return worst
 
     def _build(self, fleet, host):
-        part = FleetPart(self._settings)
-        part.peers = host.news
+        share = FleetPart(self._settings)
+        share.peers = host.news
         host.news.tells_roster = True
         host.news.describe = lambda: HostState(1, True, {})
-        host.budgets = ServiceRetryBudgets(part, fleet.clock)
+        host.budgets = ServiceRetryBudgets(share, fleet.clock)
 
     def _request(self):
         fleet = self.fleet
@@ -67,9 +67,9 @@
         host.budgets.note_request("app")
         self.requests_s.append(now_s)
         is_down = now_s // FLAP_S % 2 == 0
-        # A target fails at once, so that a request may be repeated several times.
+        # A target fails at once, so a request may be retried several times.
         while is_down and host.budgets.try_spend("app"):
-            self.repeats_s.append(now_s)
+            self.retries_s.append(now_s)
         fleet.after(fleet.random.expovariate(self._asked_per_s), self._request)
 
 
@@ -77,10 +77,10 @@
     "fault", ["none", "bridge", "joins", "bridge joins", "cut joins"]
 )
 @pytest.mark.parametrize(("host_count", "seeds"), [(4, 3), (12, 2), (38, 1)])
-def test_repeats_at_flapping_targets_stay_within_the_budget(host_count, seeds, fault):
-    """Hosts that started in a cut divided the floor by the hosts of their side."""
+def test_retries_at_flapping_targets_stay_within_the_budget(host_count, seeds, fault):
+    """Hosts that started during a cut divided the floor by the hosts on their side."""
     for seed in range(seeds):
         for load in LOADS:
             run = FlappingTargets(host_count, seed, fault, *load)
-            assert run.repeats_s
+            assert run.retries_s
             assert run.worst_excess() <= 0, (seed, load)
--- a/siskinthread/retry_budget/tests/test_fleet.py
+++ b/siskinthread/retry_budget/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Budgets of retries of many entries together."""
+"""Retry budgets of many hosts together."""
 
 import random
 
@@ -9,7 +9,7 @@
 from siskinthread.timing import ManualClock
 
 WINDOW_S = 10.0
-# What the platform allows all entries together, beside a fifth of the requests.
+# Allowed for all hosts together, in addition to a fifth of the requests.
 FLOOR_COUNT = 448
 SHARE = 0.2
 SETTINGS = GatewaySettings(
@@ -17,96 +17,96 @@
 )
 
 
-class FakeNews:
-    """Tells a number of entries."""
+class FakePeers:
+    """Peers with a given number of hosts."""
 
     def __init__(self, count):
         self.count = count
 
     def fleet_count(self):
-        """Return the number of entries."""
+        """Return the number of hosts."""
         return self.count
 
     def is_roster_known(self):
-        """Tell that all entries know one another."""
+        """Return True."""
         return True
 
 
 def build_fleet(count, clock):
-    """Return the budgets of some entries that all know one another."""
+    """Return the budgets of hosts that all know each other."""
     fleet = []
     for _ in range(count):
-        part = FleetPart(SETTINGS)
-        part.peers = FakeNews(count)
-        fleet.append(ServiceRetryBudgets(part, clock))
+        share = FleetPart(SETTINGS)
+        share.peers = FakePeers(count)
+        fleet.append(ServiceRetryBudgets(share, clock))
     return fleet
 
 
-@pytest.mark.parametrize("entry_count", [6, 39, 99, 1000])
-def test_all_entries_together_stay_within_the_budget(entry_count):
-    """Symptom: a service gets 148 repeats within 10 s, and 110 are allowed.
+@pytest.mark.parametrize("host_count", [6, 39, 99, 1000])
+def test_all_hosts_together_stay_within_the_budget(host_count):
+    """A service got 148 retries within 10 s where 110 were allowed.
 
-    Events: a failure domain is cut off, and all entries repeat each request that a
-    target declines.  Cause: each entry had a floor of its own, reckoned for twelve.
+    A failure domain was cut off, and all hosts retried each request that a target
+    declined.  Each host had a fixed floor that was sized for twelve hosts.
     """
-    generator = random.Random(entry_count)
+    generator = random.Random(host_count)
     clock = ManualClock()
-    fleet = build_fleet(entry_count, clock)
-    requests, repeats = [], []
+    fleet = build_fleet(host_count, clock)
+    requests, retries = [], []
     for _ in range(4000):
         clock.advance(0.006)
-        entry = generator.choice(fleet)
-        entry.note_request("llm")
+        host = generator.choice(fleet)
+        host.note_request("llm")
         requests.append(clock.monotonic_s())
-        if entry.try_spend("llm"):
-            repeats.append(clock.monotonic_s())
-    assert repeats
-    for end_s in repeats:
+        if host.try_spend("llm"):
+            retries.append(clock.monotonic_s())
+    assert retries
+    for end_s in retries:
         begin_s = end_s - WINDOW_S
         request_count = sum(begin_s < one <= end_s for one in requests)
-        repeat_count = sum(begin_s < one <= end_s for one in repeats)
-        assert repeat_count <= SHARE * request_count + FLOOR_COUNT
+        retry_count = sum(begin_s < one <= end_s for one in retries)
+        assert retry_count <= SHARE * request_count + FLOOR_COUNT
 
 
 def test_small_fleet_uses_most_of_the_floor():
     """Dividing the floor must not leave a small fleet without retries."""
     clock = ManualClock()
     fleet = build_fleet(6, clock)
-    granted = sum(entry.try_spend("llm") for entry in fleet for _ in range(FLOOR_COUNT))
+    granted = sum(host.try_spend("llm") for host in fleet for _ in range(FLOOR_COUNT))
     assert granted >= 0.7 * FLOOR_COUNT
 
 
-def test_requests_of_one_service_do_not_pay_for_retries_at_another():
-    """Symptom: a small service that fails gets more repeats than it may.
+def test_requests_of_one_service_do_not_allow_retries_at_another():
+    """A small failing service got more retries than allowed.
 
-    Cause: the many requests of a large service had counted for both.
+    The many requests of a large service counted for both services.
     """
     clock = ManualClock()
-    [entry] = build_fleet(1, clock)
+    [host] = build_fleet(1, clock)
     for _ in range(10_000):
-        entry.note_request("large")
-    assert sum(entry.try_spend("small") for _ in range(1000)) <= FLOOR_COUNT
+        host.note_request("large")
+    assert sum(host.try_spend("small") for _ in range(1000)) <= FLOOR_COUNT
 
 
-def test_entry_that_knows_no_other_keeps_to_its_share():
-    """Symptom: entries that start behind a cut each take the whole floor.
+def test_host_that_knows_no_other_has_no_floor():
+    """Hosts that started during a cut each used the whole floor.
 
-    Events: the settings name other entries, and none has been heard of.
+    The settings name other hosts, and none of them is known yet.
     """
-    part = FleetPart(SETTINGS)
-    part.peers = FakeNews(None)
-    entry = ServiceRetryBudgets(part, ManualClock())
-    assert not entry.try_spend("llm")
+    share = FleetPart(SETTINGS)
+    share.peers = FakePeers(None)
+    host = ServiceRetryBudgets(share, ManualClock())
+    assert not host.try_spend("llm")
     for _ in range(20):
-        entry.note_request("llm")
-    assert entry.try_spend("llm")
+        host.note_request("llm")
+    assert host.try_spend("llm")
 
 
 def test_renamed_services_are_forgotten():
-    """Symptom: memory grows with each configuration that renames a service."""
+    """Memory grew with each configuration that renamed a service."""
     clock = ManualClock()
-    [entry] = build_fleet(1, clock)
+    [host] = build_fleet(1, clock)
     for number in range(50):
-        entry.note_request(f"name-{number}")
+        host.note_request(f"name-{number}")
         clock.advance(WINDOW_S)
-    assert len(entry._budgets) <= 2
+    assert len(host._budgets) <= 2
