--- a/siskinthread/routing/_affinity.py
+++ b/siskinthread/routing/_affinity.py
@@ -4,12 +4,12 @@
 
 
 class PrefixAffinity:
-    """A bounded memory of prefixes, least recently used forgotten first.
+    """A bounded LRU cache of prefixes and their hosts.
 
     Parameters
     ----------
     settings : RoutingSettings
-        ``affinity_limit``.
+        Provides ``affinity_limit``.
     """
 
     __slots__ = ("_hosts", "_settings")
@@ -25,7 +25,7 @@
         return self._hosts.get(_key(request))
 
     def note(self, request, host):
-        """Remember that a host serves the request's prefix."""
+        """Record that a host serves the request's prefix."""
         if request.prefix_key is None:
             return
         key = _key(request)
--- a/siskinthread/routing/_loads.py
+++ b/siskinthread/routing/_loads.py
@@ -5,7 +5,7 @@
 
 
 class TargetLoads:
-    """The work of all targets as far as this entry host can know it.
+    """Known or estimated work of all targets.
 
     Parameters
     ----------
@@ -22,9 +22,9 @@
     -----
     All entry hosts react to the same reports.  If each of N corrected the whole
     difference that a report shows between two targets, together they would correct it
-    N times, and back again after the next report.  Of the others' work, the difference
-    to the mean of the failure domain therefore counts with ``others_weight`` only, and
-    the difference of that mean to the one of all targets with ``domain_weight``.
+    N times, and back again after the next report.  So, of the others' work, the
+    difference to the mean of the failure domain counts with ``others_weight`` only, and
+    the difference of that mean to the mean of all targets with ``domain_weight``.
     """
 
     __slots__ = (
@@ -49,17 +49,17 @@
         self._work(host).note_start(self._clock.monotonic_s())
 
     def note_end(self, host):
-        """Count a request to a host as ended."""
+        """Count the end of a request to a host."""
         self._work(host).note_end(self._clock.monotonic_s())
 
     def forget_all_but(self, hosts):
-        """Drop the work of hosts that are gone and owe no answer."""
+        """Drop the work of hosts not in `hosts`, except with requests in flight."""
         for host in self._works.keys() - set(hosts):
             if self._works[host].own_count == 0:
                 del self._works[host]
 
     def mean_others_counts(self, hosts):
-        """Return the others' mean work by failure domain, drawn to the overall mean.
+        """Return the others' mean work by failure domain, shrunk to the overall mean.
 
         Parameters
         ----------
@@ -69,6 +69,7 @@
         Returns
         -------
         dict of str to float
+            Requests.
         """
         counts = {}
         for host in hosts:
@@ -82,7 +83,7 @@
         }
 
     def work_count(self, host, mean_others_counts):
-        """Return the estimated requests at a host, running or waiting."""
+        """Return the estimated number of requests at a host, running or waiting."""
         others_count = self._others_count(host)
         mean_count = mean_others_counts[self._membership.failure_domain(host)]
         difference = self._settings.others_weight * (others_count - mean_count)
@@ -94,13 +95,13 @@
         return (work_count + 1) / self._work(host).capacity_count
 
     def waiting_count(self, host):
-        """Return the requests that seem to wait at a host."""
+        """Return the estimated number of requests that wait at a host."""
         work = self._work(host)
         work_count = work.own_count + self._others_count(host)
         return max(0.0, work_count - work.capacity_count)
 
     def load_without(self, hosts, ejected):
-        """Return the load of `hosts` if those of `ejected` carried nothing."""
+        """Return the load of `hosts` if the hosts in `ejected` had no capacity."""
         work_count = sum(
             self._work(host).own_count + self._others_count(host) for host in hosts
         )
@@ -110,12 +111,12 @@
         return work_count / capacity_count if capacity_count else float("inf")
 
     def service_load(self, service_name):
-        """Return the work of a service's targets over their capacity.
+        """Return the work of a service's targets divided by their capacity.
 
         Returns
         -------
         float or None
-            None if no target of the service has reported its load lately.
+            None if no target of the service has a usable load report.
         """
         cached = self._service_loads.get(service_name)
         if cached is not None and not cached[0].passed():
@@ -132,22 +133,22 @@
         return load
 
     def _has_report(self, host):
-        # Without a report the capacity is unknown; counted as one request, it would
+        # Without a report the capacity is unknown; its default of one request would
         # make a service that has just started look overloaded.
-        return self._followed_work(host).others_count is not None
+        return self._updated_work(host).others_count is not None
 
     def _others_count(self, host):
-        work = self._followed_work(host)
+        work = self._updated_work(host)
         if work.others_count is not None:
             return work.others_count
         other_entry_count = max(0, len(self._membership.entries()) - 1)
         return work.own_count * other_entry_count
 
-    def _followed_work(self, host):
+    def _updated_work(self, host):
         work = self._work(host)
         status = self._links.status(host)
         if status is not None:
-            work.follow_report(status, self._clock.monotonic_s())
+            work.update_from_report(status, self._clock.monotonic_s())
         return work
 
     def _work(self, host):
--- a/siskinthread/routing/_pools.py
+++ b/siskinthread/routing/_pools.py
@@ -1,15 +1,15 @@
-"""The hosts among which one account's requests to one service may go."""
+"""The hosts that may get one account's requests to one service."""
 
 from siskinthread.timing import Deadline
 
 
 class Pool:
-    """Eligible hosts, those of the own failure domain apart.
+    """Eligible hosts, by own and other failure domains.
 
     Attributes
     ----------
     hosts, own, other : list of str
-        All, those of the own failure domain, and the rest.
+        All hosts, those of the own failure domain, and the rest.
     mean_others_counts : dict of str to float
         Mean work of the other entry hosts by failure domain.
     """
@@ -29,12 +29,12 @@
 
 
 class PoolCache:
-    """Pools by account and service, gathered anew after a short time.
+    """Pools by account and service, rebuilt after a short time.
 
     Parameters
     ----------
     settings : RoutingSettings
-        ``pool_refresh_s``.
+        Provides ``pool_refresh_s``.
     own_failure_domain : str
         Failure domain of this entry host.
     membership : siskinthread.membership.MembershipView
@@ -48,8 +48,8 @@
 
     Notes
     -----
-    A pool may be older than a link's loss or a host's leaving, so the caller checks
-    each host that it picks.
+    A host in a pool may have lost its link or be leaving since the pool was built, so
+    the caller checks each host that it chooses.
     """
 
     __slots__ = (
@@ -59,7 +59,7 @@
         "_membership",
         "_own_failure_domain",
         "_pools",
-        "_refresh",
+        "_next_refresh",
         "_settings",
         "_state",
     )
@@ -73,25 +73,29 @@
         self._clock = clock
         self._pools = {}
         self._state = None
-        self._refresh = Deadline.after(clock, 0.0)
+        self._next_refresh = Deadline.after(clock, 0.0)
         membership.listen(self._clear)
 
     def pool(self, state, account_name, service_name):
         """Return the `Pool` of an account and a service."""
-        if state is not self._state or self._refresh.passed():
+        if state is not self._state or self._next_refresh.passed():
             self._clear(None)
             self._state = state
-            self._refresh = Deadline.after(self._clock, self._settings.pool_refresh_s)
+            self._next_refresh = Deadline.after(
+                self._clock, self._settings.pool_refresh_s
+            )
         key = account_name, service_name
         pool = self._pools.get(key)
         if pool is None:
-            pool = self._pools[key] = self._gather(state, account_name, service_name)
+            pool = self._pools[key] = self._build_pool(
+                state, account_name, service_name
+            )
         return pool
 
     def _clear(self, _):
         self._pools.clear()
 
-    def _gather(self, state, account_name, service_name):
+    def _build_pool(self, state, account_name, service_name):
         allowed = state.allowed_hosts(account_name, service_name)
         hosts = [
             host
--- a/siskinthread/routing/_rendezvous.py
+++ b/siskinthread/routing/_rendezvous.py
@@ -27,9 +27,9 @@
     Notes
     -----
     The weight of a host is XXH64 of its UTF-8 name, seeded with XXH64 of the key (seed
-    0).  Entries and agents of every version must agree: were two of them to differ, a
-    key would have two homes and its request could run twice.  The golden file of the
-    tests pins the result.
+    0).  Entry hosts and agents of all versions must agree: if two of them differed, a
+    key would have two homes and its request could run twice.  The tests fix the homes
+    of some keys.
     """
     return max(hosts, key=_weight(idempotency_key), default=None)
 
@@ -53,7 +53,7 @@
     own_failure_domain : str
         Failure domain of the entry host.
     size : int
-        Largest number of targets.
+        Maximum number of targets.
 
     Returns
     -------
@@ -62,9 +62,9 @@
 
     Notes
     -----
-    The own failure domain comes first, but fills at most half of the subset while
-    there are other hosts: with links to one failure domain only, its loss would leave
-    the entry host without any target.
+    The own failure domain comes first, but fills at most half of the subset while there
+    are other hosts: with links to one failure domain only, the loss of this domain
+    would leave the entry host without any target.
     """
     ranked = rank_hosts(hosts, entry_host)
     own = [host for host in ranked if failure_domain_of(host) == own_failure_domain]
@@ -95,18 +95,18 @@
     failure_domain_of, own_failure_domain
         As for `subset_of`.
     settings : RoutingSettings
-        ``subset_size`` and ``service_subset_size``.
+        Provides ``subset_size`` and ``service_subset_size``.
 
     Returns
     -------
     set of str
-        All agents while there are no more than ``subset_size``.
+        All agents if there are at most ``subset_size``.
 
     Notes
     -----
-    Beyond that, each service gets a part of the links.  One subset of all agents would
-    often miss a service with few hosts, noticeable as ``no_target`` at some entry hosts
-    only.
+    With more agents, each service gets a part of the links.  A single subset of all
+    agents would often contain no host of a small service; the symptom is ``no_target``
+    at some entry hosts only.
     """
     if len(agents) <= settings.subset_size or not hosts_by_service:
         return set(agents)
--- a/siskinthread/routing/_router.py
+++ b/siskinthread/routing/_router.py
@@ -23,7 +23,7 @@
     view : siskinthread.configuration.ConfigurationView
         The configuration in force.
     membership : siskinthread.membership.MembershipView
-        Hosts, their failure domains, and which are leaving.
+        Hosts, their failure domains, and which hosts are leaving.
     links : siskinthread.links.AgentLinks
         Links with the load reports.
     clock : siskinthread.timing.Clock
@@ -76,7 +76,7 @@
             "Choices of a target by the rule that made them.",
             ["rule"],
         )
-        membership.listen(self._forget_gone)
+        membership.listen(self._forget_departed)
 
     def home(self, service_name, idempotency_key, issued_at_ms):
         """Return the declared home of a key, None if the service has no hosts.
@@ -97,13 +97,13 @@
         return home_of(hosts, idempotency_key)
 
     def choose(self, request, excluded=()):
-        """Return the name of the host that shall get a request, or None.
+        """Return the name of the host for a request, or None.
 
         Parameters
         ----------
         request : siskinthread.dispatch.CallerRequest
-            The request.  One with an idempotency key goes to the key's home, whatever
-            the state of that.
+            The request.  With an idempotency key, it goes to the key's home, whatever
+            the state of this host.
         excluded : collection of str
             Hosts that have refused the request already.
         """
@@ -123,18 +123,18 @@
         return host
 
     def started(self, host, request):
-        """Note that an attempt is being sent to a host."""
+        """Record that an attempt is being sent to a host."""
         self._loads.note_start(host)
         self._service_health(request.service.name).note_start(host, request)
         self._affinity.note(request, host)
 
     def first_byte(self, host, request, first_byte_s):
-        """Note the first byte of an answer as it comes.
+        """Record the first byte of an answer when it arrives.
 
         Parameters
         ----------
         host : str
-            Where the attempt went.
+            Host of the attempt.
         request : siskinthread.dispatch.CallerRequest
             The request.
         first_byte_s : float
@@ -144,34 +144,34 @@
         health.note_first_byte(host, request, first_byte_s)
 
     def ended(self, host, request, outcome, first_byte_s):
-        """Note that an attempt has ended.
+        """Record the end of an attempt.
 
         Parameters
         ----------
         host : str
-            Where it went.
+            Host of the attempt.
         request : siskinthread.dispatch.CallerRequest
             The request.
         outcome : siskinthread.outcomes.Outcome
-            What became of it.
+            Outcome of the attempt.
         first_byte_s : float or None
             Seconds from the start to the first byte, None if there was none; ignored
-            if `first_byte` has told it already.
+            after a call of `first_byte`.
         """
         self._loads.note_end(host)
         health = self._service_health(request.service.name)
         if first_byte_s is None:
             health.note_no_first_byte(host, request, outcome in FAILURES)
         else:
-            health.note_first_byte(host, request, first_byte_s, at_once=False)
+            health.note_first_byte(host, request, first_byte_s, is_live=False)
 
     def service_load(self, service_name):
-        """Return the work of a service's targets over their capacity, or None."""
+        """Return the work of a service's targets divided by their capacity, or None."""
         return self._loads.service_load(service_name)
 
-    def _forget_gone(self, membership):
-        # Hosts are replaced under new names all the time; without this, the memory of
-        # an entry host would grow until it is replaced itself.
+    def _forget_departed(self, membership):
+        # Hosts are constantly replaced under new names; without this, the memory of an
+        # entry host would grow until it is replaced itself.
         hosts = membership.agents()
         self._loads.forget_all_but(hosts)
         for health in self._health.values():
@@ -181,28 +181,28 @@
         if request.priority == ALERT_PRIORITY:
             return "alert", self._least_waiting(pool, health, excluded)
         probed = health.due_probe(pool.hosts) if request.idempotent else None
-        if probed is not None and self._usable(probed, excluded):
+        if probed is not None and self._is_usable(probed, excluded):
             health.note_probe(probed)
             return "probe", probed
         return self._pick_by_load(request, pool, health, excluded)
 
     def _pick_by_load(self, request, pool, health, excluded):
-        own = self._best_of_some(pool, pool.own, health, excluded)
-        other = self._best_of_some(pool, pool.other, health, excluded)
-        rule, (load, host) = self._own_or_other(own, other)
+        own = self._best_of_sample(pool, pool.own, health, excluded)
+        other = self._best_of_sample(pool, pool.other, health, excluded)
+        rule, (load, host) = self._choose_domain(own, other)
         if host is None:
             return "last_resort", self._least_loaded(pool, excluded)
         preferred = self._affinity.host(request)
         limit = load + self._settings.affinity_bound
         if (
             preferred in pool.hosts
-            and self._healthy(preferred, health, excluded)
+            and self._is_healthy(preferred, health, excluded)
             and self._loads.load(preferred, pool.mean_others_counts) <= limit
         ):
             return "prefix", preferred
         return rule, host
 
-    def _own_or_other(self, own, other):
+    def _choose_domain(self, own, other):
         if own[1] is None:
             return "other_domain", other
         if other[1] is None or own[0] <= self._own_load_limit(other[0]):
@@ -213,23 +213,25 @@
         bounded = other_load + self._settings.spill_bound
         return max(other_load, min(bounded, self._settings.own_load_limit))
 
-    def _best_of_some(self, pool, hosts, health, excluded):
+    def _best_of_sample(self, pool, hosts, health, excluded):
         best = float("inf"), None
-        for host in self._draw(hosts, health, excluded):
+        for host in self._sample(hosts, health, excluded):
             load = self._loads.load(host, pool.mean_others_counts)
             if load < best[0]:
                 best = load, host
         return best
 
-    def _draw(self, hosts, health, excluded):
+    def _sample(self, hosts, health, excluded):
         count = self._settings.choice_count
         if len(hosts) > count:
-            drawn = [hosts[self._index(hosts)] for _ in range(count)]
-            drawn = [host for host in drawn if self._healthy(host, health, excluded)]
-            if drawn:
-                return drawn
-        healthy = [host for host in hosts if self._healthy(host, health, excluded)]
-        # The first of equally loaded hosts wins, so each has to come first at times.
+            sampled = [hosts[self._index(hosts)] for _ in range(count)]
+            sampled = [
+                host for host in sampled if self._is_healthy(host, health, excluded)
+            ]
+            if sampled:
+                return sampled
+        healthy = [host for host in hosts if self._is_healthy(host, health, excluded)]
+        # The first of equally loaded hosts wins, so the order is rotated at random.
         start = self._index(healthy) if healthy else 0
         return healthy[start:] + healthy[:start]
 
@@ -237,7 +239,9 @@
         return int(self._random.random() * len(hosts))
 
     def _least_waiting(self, pool, health, excluded):
-        healthy = [host for host in pool.hosts if self._healthy(host, health, excluded)]
+        healthy = [
+            host for host in pool.hosts if self._is_healthy(host, health, excluded)
+        ]
         if not healthy:
             return self._least_loaded(pool, excluded)
         means = pool.mean_others_counts
@@ -249,14 +253,14 @@
         return min(healthy, key=waiting_key)
 
     def _least_loaded(self, pool, excluded):
-        usable = [host for host in pool.hosts if self._usable(host, excluded)]
+        usable = [host for host in pool.hosts if self._is_usable(host, excluded)]
         means = pool.mean_others_counts
         return min(usable, key=lambda host: self._loads.load(host, means), default=None)
 
-    def _healthy(self, host, health, excluded):
-        return not health.is_ejected(host) and self._usable(host, excluded)
+    def _is_healthy(self, host, health, excluded):
+        return not health.is_ejected(host) and self._is_usable(host, excluded)
 
-    def _usable(self, host, excluded):
+    def _is_usable(self, host, excluded):
         if host in excluded or self._membership.is_leaving(host):
             return False
         status = self._links.status(host)
--- a/siskinthread/routing/_settings.py
+++ b/siskinthread/routing/_settings.py
@@ -4,7 +4,7 @@
 
 
 class RoutingSettings(Section):
-    """How targets are compared and which are avoided."""
+    """How targets are compared and which targets are avoided."""
 
     subset_size = Item(
         int,
@@ -16,14 +16,14 @@
         int,
         default=8,
         minimum=2,
-        description="Links for each service at least, where there are more agents.",
+        description="Least number of links for each service if there are more agents.",
     )
     pool_refresh_s = Item(
         float,
         default=0.1,
         minimum=0.0,
         description="Time after which the hosts eligible for an account and a service "
-        "are gathered anew.",
+        "are determined again.",
     )
     report_limit_s = Item(
         float,
@@ -36,35 +36,35 @@
         default=0.25,
         minimum=0.0,
         description="Weight of the difference between the other entry hosts' work at a "
-        "target and its mean over the failure domain.",
+        "target and the mean of their work over the failure domain.",
     )
     domain_weight = Item(
         float,
         default=0.6,
         minimum=0.0,
         description="Weight of the difference between the other entry hosts' mean work "
-        "in a failure domain and their mean work everywhere.",
+        "in a failure domain and their mean work in all domains.",
     )
     report_smoothing = Item(
         float,
         default=0.2,
         minimum=0.0,
         description="Weight of a new load report in the estimate of the other entry "
-        "hosts' work; 1.0 for the last report alone.",
+        "hosts' work; 1.0 uses the last report alone.",
     )
     choice_count = Item(
         int,
         default=8,
         minimum=1,
-        description="Targets that are drawn at random and compared, of the own failure "
-        "domain and of the others each.",
+        description="Targets that are sampled at random and compared, separately for "
+        "the own failure domain and for the others.",
     )
     spill_bound = Item(
         float,
         default=0.2,
         minimum=0.0,
         description="How much more loaded, as a share of its capacity, the own failure "
-        "domain may be than another one before requests spill to that.",
+        "domain may be than another one before requests go to the other one.",
     )
     own_load_limit = Item(
         float,
@@ -78,47 +78,47 @@
         default=0.2,
         minimum=0.0,
         description="How much more loaded, as a share of its capacity, the target that "
-        "last served a prefix may be than the best one and still be preferred.",
+        "last served a prefix may be than the best target and still be preferred.",
     )
     affinity_limit = Item(
         int,
         default=8192,
         minimum=1,
-        description="Prefixes whose last target is remembered.",
+        description="Maximum number of prefixes whose last target is remembered.",
     )
     slow_ratio = Item(
         float,
         default=1.7,
         minimum=1.0,
-        description="First-byte time, as a multiple of its peers' median, beyond which "
-        "a target is ejected.",
+        description="First-byte time, as a multiple of the targets' median, beyond "
+        "which a target is ejected.",
     )
     recovered_ratio = Item(
         float,
         default=1.4,
         minimum=1.0,
-        description="First-byte time, as a multiple of its peers' median, below which "
-        "an ejected target is let back in.",
+        description="First-byte time, as a multiple of the targets' median, below "
+        "which an ejected target is readmitted.",
     )
     slow_margin_s = Item(
         float,
         default=0.02,
         minimum=0.0,
-        description="Least difference to the peers' median that counts as slow.",
+        description="Smallest difference to the targets' median that counts as slow.",
     )
     slow_sample_count = Item(
         int,
         default=4,
         minimum=1,
-        description="First-byte times that are needed to judge a target.",
+        description="Number of first-byte times that are needed to judge a target.",
     )
     calm_load = Item(
         float,
         default=0.8,
         minimum=0.0,
         description="Load, as a share of its capacity, below which two slow first "
-        "bytes in a row are enough to eject a target; above, they may come from its "
-        "queue and three of four are needed.",
+        "bytes in a row are enough to eject a target; above, they may result from its "
+        "queue, and three of four are needed.",
     )
     ejection_limit_fraction = Item(
         float,
@@ -130,8 +130,8 @@
         float,
         default=0.9,
         minimum=0.0,
-        description="Load of the remaining targets, as a share of their capacity, up "
-        "to which a slow target is ejected.",
+        description="Largest load of the remaining targets, as a share of their "
+        "capacity, at which a slow target is ejected.",
     )
     stall_limit_s = Item(
         float,
@@ -144,7 +144,7 @@
         int,
         default=3,
         minimum=1,
-        description="Failures without a first byte in between after which a target is "
+        description="Consecutive failures without a first byte after which a target is "
         "ejected.",
     )
     review_interval_s = Item(
@@ -158,7 +158,7 @@
         default=2.0,
         minimum=0.01,
         description="Time between an ejection and the first probe; it doubles with "
-        "each probe that was slow.",
+        "each slow probe.",
     )
     probe_interval_limit_s = Item(
         float,
--- a/siskinthread/routing/_work.py
+++ b/siskinthread/routing/_work.py
@@ -1,10 +1,10 @@
-"""How much work a target has: own count and lagging report combined."""
+"""Amount of work at a target, from own counts and delayed reports."""
 
 import collections
 
 
 class TargetWork:
-    """What this entry host has sent to one target, and what others seem to have.
+    """Own requests at one target, and an estimate of other entry hosts' requests.
 
     Attributes
     ----------
@@ -18,13 +18,14 @@
     Notes
     -----
     A load report describes the past.  Between two reports every entry host sees the
-    same least loaded target; if all went by the report alone, they would flood it
-    until the next report, noticeable as queues that jump from target to target at the
-    pace of the reports.  So this entry host's own requests are counted exactly, and the
-    report only gives the others' part: what it holds beyond the own requests in flight
-    when it arrived, smoothed over reports, since of a single late one little is still
-    true.  The age that a report states is that of the split into running and waiting;
-    their sum is counted by the agent as it writes the frame.
+    same least loaded target; if all relied on the report alone, they would flood this
+    target until the next report, and queues would move from target to target at the
+    rate of the reports.  So this entry host's own requests are counted exactly, and the
+    report only provides the others' requests: its total minus the own requests in
+    flight when it arrived.  This number is smoothed over reports, since a single
+    delayed report is mostly outdated.  The stated age of a report applies to the split
+    into running and waiting requests; their sum is counted by the agent when it writes
+    the frame.
     """
 
     __slots__ = (
@@ -52,12 +53,12 @@
         self._started_at_s.append(now_s)
 
     def note_end(self, now_s):
-        """Count a request that has ended."""
+        """Count the end of a request."""
         self.own_count -= 1
         self._ended_at_s.append(now_s)
 
-    def follow_report(self, status, now_s):
-        """Take in the last load report of a link, unless it is known or too old.
+    def update_from_report(self, status, now_s):
+        """Apply the last load report of a link, unless it is known or too old.
 
         Parameters
         ----------
@@ -74,9 +75,9 @@
         elif received_at_s != self._report_received_at_s:
             self._report_received_at_s = received_at_s
             self._forget_before(received_at_s)
-            self._take_report(status.load)
+            self._apply_report(status.load)
 
-    def _take_report(self, report):
+    def _apply_report(self, report):
         change_count = len(self._started_at_s) - len(self._ended_at_s)
         own_then_count = self.own_count - change_count
         total_count = (report.running or 0) + (report.waiting or 0)
--- a/siskinthread/routing/tests/_fakes.py
+++ b/siskinthread/routing/tests/_fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the parts that the router asks."""
+"""Fakes of the components that the router uses."""
 
 from siskinthread.configuration import Account, ConfigurationView, Service
 from siskinthread.dispatch import CallerRequest
@@ -25,7 +25,7 @@
 
 
 class FakeLinks:
-    """Links whose states a test sets."""
+    """Links with states that a test sets."""
 
     def __init__(self):
         self.statuses = {}
@@ -56,7 +56,7 @@
 
 
 class RoutingBench:
-    """A router among fakes.
+    """A router with fake links and configuration.
 
     Parameters
     ----------
@@ -107,14 +107,14 @@
         )
 
     def report(self, host, running, waiting=0, capacity=16, age_ms=0, **marks):
-        """Let a load report of a host arrive now."""
+        """Set the load report of a host."""
         status = self.links.statuses[host]
         fields = {"leaving": False, "stalled": False} | marks
         status.load = LoadReport(running, waiting, capacity, age_ms, **fields)
         status.load_received_at_s = self.clock.monotonic_s()
 
     def send(self, **changes):
-        """Choose a target, start an attempt there and return host and request."""
+        """Choose a target, start an attempt there; return the host and the request."""
         request = self.request(**changes)
         host = self.router.choose(request)
         if host is not None:
@@ -123,5 +123,5 @@
 
 
 def agent(host, failure_domain, leaving=False):
-    """Return a line of the host list."""
+    """Return an entry of the host list."""
     return HostEntry(host, "agent", "127.0.0.1", 1, failure_domain, leaving)
--- a/siskinthread/routing/tests/test_health.py
+++ b/siskinthread/routing/tests/test_health.py
@@ -9,7 +9,7 @@
 
 
 def answer(bench, host, request, first_byte_s):
-    """Let an attempt be answered."""
+    """Answer an attempt."""
     bench.router.first_byte(host, request, first_byte_s)
     bench.router.ended(host, request, Outcome.ANSWERED, None)
 
@@ -25,11 +25,11 @@
     return counts
 
 
-def test_slow_target_is_avoided_and_let_back():
-    """Symptom: a few requests in a hundred see their first byte ten times later.
+def test_slow_target_is_avoided_and_readmitted():
+    """A few requests in a hundred got their first byte ten times later than the rest.
 
-    Events: one of eight targets becomes slow, but its counts look like the others'.
-    Cause: load counts don't show the pace of a target.
+    One of eight targets became slow, but its counts were like the others', as load
+    counts don't show the speed of a target.
     """
     hosts = {f"h{index}": "a" for index in range(8)}
     bench = RoutingBench(hosts, random.Random(1))
@@ -41,8 +41,8 @@
     assert run_answered(bench, 400, slow_hosts=())["h3"] > 20
 
 
-def test_ejections_leave_targets_enough():
-    """However many targets turn slow, no more than a quarter is ejected."""
+def test_ejections_are_bounded():
+    """However many targets become slow, at most a quarter is ejected."""
     hosts = {f"h{index}": "a" for index in range(8)}
     bench = RoutingBench(hosts, random.Random(1))
     slow_hosts = {"h0", "h1", "h2"}
@@ -51,11 +51,11 @@
     assert sum(1 for host in slow_hosts if counts[host] < 10) == 2
 
 
-def test_busy_target_is_not_taken_for_a_slow_one():
-    """Symptom: under load, healthy targets are ejected and the rest is overloaded.
+def test_busy_target_does_not_count_as_slow():
+    """Under load, healthy targets were ejected and the others overloaded.
 
-    Events: targets are nearly full, and half of the requests to one wait in its queue,
-    two in a row.  Cause: a mean, or the last times alone, mix waiting with pace.
+    Targets are nearly full, and half of the requests to one wait in its queue, two in a
+    row.  A mean, or the last times alone, include the waiting.
     """
     hosts = {f"h{index}": "a" for index in range(16)}
     bench = RoutingBench(hosts, random.Random(1))
@@ -71,11 +71,11 @@
     assert counts["h0"] > 60
 
 
-def test_slow_target_with_room_is_ejected_soon():
-    """Symptom: each entry host spends many requests to learn that a target is slow.
+def test_slow_target_with_free_capacity_is_ejected_soon():
+    """Each entry host spent many requests to detect that a target is slow.
 
-    Events: a target with room becomes slow.  Cause: as many slow answers were awaited
-    as it takes to tell a slow target from a busy one.
+    A target with free capacity became slow.  As many slow answers were awaited as are
+    needed to distinguish a slow target from a busy one.
     """
     hosts = {f"h{index}": "a" for index in range(8)}
     bench = RoutingBench(hosts, random.Random(1), review_interval_s=0.0)
@@ -86,8 +86,8 @@
 class StallBench:
     """Streams of two seconds on four targets; stuck ones are given up after four.
 
-    Both keep the counts of requests alike, so that load alone does not tell the stalled
-    target from the others.
+    Both keep the counts of requests similar, so that load alone does not show the
+    stalled target.
     """
 
     def __init__(self):
@@ -97,7 +97,7 @@
         self.stalled_host = None
 
     def run(self, count):
-        """Send requests, one each 10 ms; return how many the host h2 got."""
+        """Send requests, one every 10 ms; return how many the host h2 got."""
         return sum(self._step() == "h2" for _ in range(count))
 
     def _step(self):
@@ -118,12 +118,11 @@
 
 
 def test_stalled_target_is_avoided_until_it_answers():
-    """Symptom: requests keep going to a target that answers none, up to their deadline.
+    """Requests kept going to a target that answered none, up to their deadlines.
 
-    Events: a target stops making progress; its agent has not noticed, so reports and
-    heartbeats go on.  Its requests are given up in the end.  Cause: nothing compares
-    what was sent with what came back, or the answers from before the stall are taken
-    for a recovery.
+    The target made no progress; its agent had not noticed, so reports and heartbeats
+    continued, and the requests were given up in the end.  Nothing compared the sent
+    requests with the answers, or answers from before the stall counted as recovery.
     """
     bench = StallBench()
     assert bench.run(400) > 80
@@ -135,11 +134,11 @@
     assert bench.run(400) > 80
 
 
-def test_target_that_fails_at_once_draws_no_requests():
-    """Symptom: most requests fail although one target only is broken.
+def test_target_that_fails_at_once_attracts_no_requests():
+    """Most requests failed although only one target was broken.
 
-    Events: a target refuses each request at once and so always has the least work.
-    Cause: the least loaded target is chosen, and failing fast looks like idling.
+    A target that refuses each request at once has the least work, and the least loaded
+    target was chosen.
     """
     hosts = {f"h{index}": "a" for index in range(4)}
     bench = RoutingBench(hosts, random.Random(1))
@@ -155,8 +154,8 @@
     assert failed_count < 60
 
 
-def test_hosts_that_are_gone_are_forgotten():
-    """The router's memory does not grow with the hosts that were replaced."""
+def test_departed_hosts_are_forgotten():
+    """The router's memory does not grow with the number of replaced hosts."""
     bench = RoutingBench(DOMAINS, random.Random(1))
     run_answered(bench, 50, slow_hosts=())
     leaving = [agent(host, domain, leaving=True) for host, domain in DOMAINS.items()]
--- a/siskinthread/routing/tests/test_measured_policy.py
+++ b/siskinthread/routing/tests/test_measured_policy.py
@@ -1,4 +1,4 @@
-"""The router among queues: the comparison that the project measures, one short run."""
+"""One short run of the comparison of routing policies with queueing targets."""
 
 from siskinthread.measurement._routing import compare_policies, ROUTER
 from siskinthread.measurement._routing_policies import offer_by_shares
@@ -6,10 +6,11 @@
 
 
 def test_router_beats_the_baselines_with_a_slow_target():
-    """Symptom: one request in a hundred waits several times as long as the rest.
+    """One request in a hundred waited several times as long as the rest.
 
-    Events: one target is four times slower, load reports lag by up to 1.5 s.  Cause:
-    requests still go to the slow target, or pile up where an old report shows room.
+    One target is four times slower, and load reports lag by up to 1.5 s.  Requests
+    still went to the slow target, or accumulated where an old report showed free
+    capacity.
     """
     comparison = compare_policies(Scenario(end_s=15.0), seeds=(1,))
     assert comparison.p99_ratio <= 0.8
@@ -17,7 +18,7 @@
 
 
 def test_offers_follow_the_reference():
-    """The baseline's allocation: 10 targets to 2, with 90 percent of the capacity."""
+    """The baseline offers 10 targets to 2 for 90 percent of the capacity."""
     hosts = {f"a-{i}": "a" for i in range(10)} | {f"b-{i}": "b" for i in range(2)}
     offers = offer_by_shares(hosts, {"a": 0.9, "b": 0.1})
     counts = [list(offers.values()).count(domain) for domain in ("a", "b")]
--- a/siskinthread/routing/tests/test_rendezvous.py
+++ b/siskinthread/routing/tests/test_rendezvous.py
@@ -29,11 +29,10 @@
     ],
 )
 def test_homes_never_change_between_versions(hosts, key, home):
-    """Symptom: a request with an idempotency key runs twice.
+    """A request with an idempotency key ran twice.
 
-    Events: an entry of a newer version sends a retry to another home than the entry of
-    an older version sent the request.  Cause: the two compute homes differently.  The
-    homes of released versions are fixed here and must not be edited.
+    Entry hosts of different versions sent the request and its retry to different homes.
+    The homes of released versions are fixed here and must not be edited.
     """
     assert home_of(hosts, key) == home
     assert home_of(reversed(hosts), key) == home
@@ -44,8 +43,8 @@
     assert home_of([], "alert-1") is None
 
 
-def test_homes_are_spread_evenly_and_move_little():
-    """Keys spread over the hosts; a removed host moves its own keys only."""
+def test_homes_are_spread_evenly_and_stable():
+    """Keys spread evenly over the hosts; removing a host moves its own keys only."""
     keys = [f"key-{index}" for index in range(4000)]
     homes = {key: home_of(ENGINE_HOSTS, key) for key in keys}
     counts = collections.Counter(homes.values())
@@ -56,12 +55,12 @@
 
 
 def domain_of(host):
-    """Place hosts into eight failure domains by their number."""
+    """Return one of eight failure domains by the number of a host."""
     return f"domain-{int(host.rsplit('-', 1)[1]) % 8}"
 
 
-def test_subset_is_bounded_and_leaves_no_target_alone():
-    """600 targets: each entry has its subset, each target about as many entries."""
+def test_subset_is_bounded_and_covers_all_targets():
+    """400 entry hosts have bounded subsets of 600 targets, which are used evenly."""
     hosts = [f"target-{index}" for index in range(600)]
     counts = collections.Counter()
     for index in range(400):
@@ -82,10 +81,10 @@
 
 
 def test_links_reach_every_service():
-    """Symptom: some entry hosts answer ``no_target`` for a service with few hosts.
+    """Some entry hosts answered ``no_target`` for a service with few hosts.
 
-    Events: there are more agents than links, and the ranking over all of them has none
-    of the service's three.  Cause: one subset for all services.
+    There were more agents than links, and one subset of all agents contained none of
+    the service's three hosts.
     """
     hosts = [f"target-{index}" for index in range(600)]
     services = {"large": hosts[3:], "small": hosts[:3]}
--- a/siskinthread/routing/tests/test_router.py
+++ b/siskinthread/routing/tests/test_router.py
@@ -1,4 +1,4 @@
-"""The router on small sizes, against a naive scorer and under failures."""
+"""The router compared to a naive scorer, and with failures."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 def naive_loads(reported, own):
-    """Score every host from first principles: own work, and others' by the report."""
+    """Return the load of every host, from own work and others' reported work."""
     others = {host: max(0, reported[host]) for host in DOMAINS}
     overall = sum(others.values()) / len(others)
     loads = {}
@@ -32,7 +32,7 @@
 @given(works, strategies.integers(0, 1000))
 @settings(derandomize=True, deadline=None, max_examples=150)
 def test_router_agrees_with_naive_scorer(work, seed):
-    """With draws enough to see every host, the choice is the naive scorer's."""
+    """With enough samples to include every host, the choice is the naive scorer's."""
     bench = RoutingBench(DOMAINS, random.Random(seed), choice_count=MANY_DRAWS)
     reported = dict(zip(DOMAINS, [running for running, _ in work], strict=True))
     own = dict(zip(DOMAINS, [count for _, count in work], strict=True))
@@ -64,13 +64,13 @@
     strategies.sets(strategies.sampled_from(sorted(DOMAINS))),
 )
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_no_unfit_host_is_ever_chosen(faults, excluded):
-    """Down, leaving, stalled and excluded hosts get nothing, also with a stale pool."""
+def test_no_unusable_host_is_chosen(faults, excluded):
+    """Down, leaving, stalled and excluded hosts get nothing, even with an old pool."""
     bench = RoutingBench(DOMAINS, random.Random(1))
     bench.router.choose(bench.request())
-    unfit = set(excluded)
+    unusable = set(excluded)
     for host, fault in zip(DOMAINS, faults, strict=False):
-        unfit.add(host)
+        unusable.add(host)
         status = bench.links.statuses[host]
         if fault == "down":
             status.connected = False
@@ -78,7 +78,7 @@
             status.leaving = True
         elif fault == "listed":
             listed = [
-                agent(name, DOMAINS[name], name in unfit - excluded and name == host)
+                agent(name, DOMAINS[name], name in unusable - excluded and name == host)
                 for name in DOMAINS
             ]
             for entry in listed:
@@ -89,8 +89,8 @@
             bench.report(host, 0, **marks)
     for priority in (0, 2):
         host = bench.router.choose(bench.request(priority=priority), excluded)
-        assert host not in unfit
-        assert (host is None) == (unfit >= set(DOMAINS))
+        assert host not in unusable
+        assert (host is None) == (unusable >= set(DOMAINS))
 
 
 def test_own_domain_first_and_spill_beyond_the_bound():
@@ -106,18 +106,18 @@
 
 
 def test_full_own_domain_spills_at_once():
-    """Near its capacity, the own domain gets nothing while another has more room."""
+    """Near its capacity, the own domain gets nothing if another one has more room."""
     bench = RoutingBench(DOMAINS, random.Random(1), choice_count=MANY_DRAWS)
     for host, domain in DOMAINS.items():
         bench.report(host, 13 if domain == "a" else 11)
     assert bench.send()[0] in ("h3", "h4")
 
 
-def test_alert_goes_where_least_waits():
-    """Symptom: an alert waits in a queue although a target could start it at once.
+def test_alert_goes_to_the_shortest_queue():
+    """An alert waited in a queue although another target could start it at once.
 
-    Events: the own domain's targets are large and full, one elsewhere is small and has
-    room.  Cause: the alert was placed by load like a draft, which goes to the former.
+    The own domain's targets are large and full, a target elsewhere is small and has
+    free capacity.  Placed by load, as a draft is, the alert went to the former.
     """
     bench = RoutingBench(DOMAINS, random.Random(1))
     for host in ("h1", "h2", "h3"):
@@ -128,7 +128,7 @@
 
 
 def test_prefix_stays_while_load_is_near_the_best():
-    """A prefix returns to its last target, until that is loaded beyond the bound."""
+    """A prefix stays on its last target until its load exceeds the bound."""
     bench = RoutingBench(DOMAINS, random.Random(1), choice_count=MANY_DRAWS)
     for host in DOMAINS:
         bench.report(host, 0)
@@ -139,12 +139,11 @@
     assert bench.send(prefix_key="p")[0] != first
 
 
-def test_lagging_report_does_not_draw_a_flood():
-    """Symptom: a whole burst lands on one target and queues there.
+def test_lagging_report_does_not_attract_a_burst():
+    """A whole burst was sent to one target and queued there.
 
-    Events: the last report of one target shows it nearly idle; a burst arrives before
-    the next report.  Cause: choices went by the report alone, which does not know what
-    was sent since.
+    The last report showed the target nearly idle, and a burst arrived before the next
+    report.  Choices relied on the report alone, which lacks the requests sent since.
     """
     hosts = {f"h{index}": "a" for index in range(4)}
     bench = RoutingBench(hosts, random.Random(1), others_weight=1.0)
@@ -155,10 +154,10 @@
 
 
 def test_own_requests_in_a_report_are_not_counted_twice():
-    """Symptom: an entry host avoids targets for its own requests' sake twice over.
+    """An entry host avoided targets because it counted its own requests twice.
 
-    Events: requests start, a report that includes them arrives.  Cause: the report's
-    total was added to the own count.
+    A report that included the own requests arrived, and its total was added to the own
+    count.
     """
     bench = RoutingBench({"h1": "a"}, random.Random(1))
     bench.report("h1", 0)
@@ -170,10 +169,10 @@
 
 
 def test_targets_without_reports_do_not_count_as_overloaded():
-    """Symptom: drafts are refused ``overloaded`` in the first second of an entry host.
+    """Drafts were refused as ``overloaded`` in the first second of an entry host.
 
-    Events: requests are in flight and no target has reported yet.  Cause: the unknown
-    capacity counted as one request.
+    Requests were in flight before any target had reported, and the unknown capacity
+    counted as one request.
     """
     bench = RoutingBench({"h1": "a", "h2": "a"}, random.Random(1))
     for _ in range(8):
