--- a/siskinthread/targets/__init__.py
+++ b/siskinthread/targets/__init__.py
@@ -1,9 +1,9 @@
 """Adapters to the targets: model engines and plain services.
 
 ``build_target(settings, clock)`` returns a `Target`; ``open_call(target, request)``
-runs a `TargetRequest`; ``resume_call(target, request_id, offset_bytes)`` goes on with
-one that another incarnation of the agent began.  A `Call` gives `Head`, `Part` and
-`End` (`siskinthread.outcomes`).
+runs a `TargetRequest`; ``resume_call(target, request_id, offset_bytes)`` continues a
+request that another incarnation of the agent has sent.  A `Call` yields `Head`, `Part`
+and `End` (`siskinthread.outcomes`).
 """
 
 from siskinthread.targets._adapters import open_call, resume_call
--- a/siskinthread/targets/_adapters.py
+++ b/siskinthread/targets/_adapters.py
@@ -1,4 +1,4 @@
-"""What differs between the kinds of target."""
+"""Calls by kind of target."""
 
 import functools
 
@@ -26,21 +26,21 @@
 
 @functools.singledispatch
 def resume_call(target, request_id, offset_bytes):
-    """Return a `Call` that goes on with a request that may run at the target.
+    """Return a `Call` that continues a request which may run at the target.
 
     Parameters
     ----------
     target : Target
-        Who is asked.
+        The target.
     request_id : str
         Id under which the request was sent.
     offset_bytes : int
-        First byte of the body that is wanted.
+        Offset of the first byte of the body to be returned.
 
     Returns
     -------
     Call or None
-        None if a target of this kind can't be asked.
+        None if a target of this kind can't resume requests.
     """
 
 
--- a/siskinthread/targets/_calls.py
+++ b/siskinthread/targets/_calls.py
@@ -2,14 +2,14 @@
 
 A connection that fails before a byte of the request was written proves that the request
 did not run.  After the first byte nothing proves that, so the outcome is unknown unless
-the target can be asked.
+the target can be queried.
 """
 
 from siskinthread.errors import ConnectionLostError, TargetError
 from siskinthread.outcomes import End, Outcome, Part, Reason
 from siskinthread.targets._connection import HOP_BY_HOP_HEADERS
 
-OWN_HEADERS = HOP_BY_HOP_HEADERS | {
+REPLACED_HEADERS = HOP_BY_HOP_HEADERS | {
     "content-length",
     "expect",
     "host",
@@ -21,16 +21,16 @@
 
 
 class Call:
-    """One request at a target; ``next_event`` gives `Head`, `Part` ..., `End`.
+    """One request at a target; ``next_event`` returns `Head`, `Part` ..., `End`.
 
     Parameters
     ----------
     target : Target
-        Who is asked.
+        The target.
     request : TargetRequest
-        What is asked.
+        The request.
     offset_bytes : int
-        Offset of the first byte of the body that is wanted.
+        Offset of the first byte of the body to be returned.
     """
 
     __slots__ = (
@@ -57,21 +57,21 @@
             try:
                 event = await self._advance()
             except (TargetError, ConnectionLostError) as error:
-                await self._drop_connection()
-                event = await self._broken(str(error))
+                await self._discard_connection()
+                event = await self._handle_failure(str(error))
         return event
 
     async def _advance(self):
         if self.head is None:
-            return await self._begin()
+            return await self._send_request()
         data = await self._connection.receive_data()
         if data is not None:
             return self._part(data)
-        await self._keep_connection()
-        return self._whole()
+        await self._release_connection()
+        return self._complete_end()
 
-    async def _begin(self):
-        self._connection = await self.target.pool.take(self.request.idempotent)
+    async def _send_request(self):
+        self._connection = await self.target.pool.acquire(self.request.idempotent)
         try:
             await self._connection.send_request(
                 self.request.method,
@@ -80,7 +80,7 @@
                 self.request.body,
             )
         finally:
-            # Cancellation may strike within the write as well.
+            # The task may be cancelled within the write as well.
             self.written = self._connection.written
         self.head = await self._connection.receive_head()
         return self.head
@@ -90,46 +90,48 @@
         self._offset_bytes += len(data)
         return part
 
-    def _whole(self):
+    def _complete_end(self):
         return End(Outcome.ANSWERED, Reason.COMPLETE, length_bytes=self._offset_bytes)
 
-    async def _broken(self, message):
-        """Return the end after a failure; None to go on."""
-        return broken_end(self, message)
+    async def _handle_failure(self, message):
+        """Return the end after a failure; None to continue."""
+        return failure_end(self, message)
 
     def _request_headers(self):
         headers = [self.target.host_header()]
         headers += [
-            pair for pair in self.request.headers if pair[0].lower() not in OWN_HEADERS
+            pair
+            for pair in self.request.headers
+            if pair[0].lower() not in REPLACED_HEADERS
         ]
         headers.append(("content-length", str(len(self.request.body))))
         headers.append(("x-request-id", self.request.request_id))
         return headers
 
     async def cancel(self):
-        """Stop the call.
+        """Cancel the call.
 
         Returns
         -------
         Outcome
-            What is known of the request.
+            Known outcome of the request.
         """
-        await self._drop_connection()
-        return broken_end(self, "").outcome
+        await self._discard_connection()
+        return failure_end(self, "").outcome
 
-    async def _keep_connection(self):
+    async def _release_connection(self):
         connection, self._connection = self._connection, None
-        await self.target.pool.give_back(connection)
+        await self.target.pool.release(connection)
 
-    async def _drop_connection(self):
+    async def _discard_connection(self):
         connection, self._connection = self._connection, None
         if connection is not None:
             self.written = self.written or connection.written
-            await self.target.pool.drop(connection)
+            await self.target.pool.discard(connection)
 
 
-def broken_end(call, message):
-    """Return the end of a call whose connection failed, from what is known."""
+def failure_end(call, message):
+    """Return the end of a call whose connection failed, as far as it is known."""
     if not call.written:
         return End(Outcome.REFUSED_NOT_RUN, Reason.TARGET_UNREACHABLE, message)
     if call.head is None:
@@ -138,7 +140,7 @@
 
 
 class PlainCall(Call):
-    """A call of a plain service; once broken it can't be asked about."""
+    """A call of a plain service, which can't be queried after a failure."""
 
     __slots__ = ()
 
--- a/siskinthread/targets/_connection.py
+++ b/siskinthread/targets/_connection.py
@@ -43,27 +43,27 @@
     Attributes
     ----------
     written : bool
-        Whether a byte of the present request was given to the network.  As long as it
-        is False, the target can't have run the request.
+        Whether a byte of the current request was passed to the network.  While it is
+        False, the target can't have run the request.
     idle_deadline : Deadline or None
-        While idle: when the connection is too old to be used.
-    careful_deadline : Deadline or None
-        While idle: when it is too old for a non-idempotent request.
+        While idle: when the connection becomes too old to be used.
+    non_idempotent_deadline : Deadline or None
+        While idle: when it becomes too old for a non-idempotent request.
     silence_deadline : Deadline or None
-        While it is read: when the target has been silent for too long.  The pool
-        watches it; a timeout of curio's own for each receive took a fifth of the
-        time that the relaying of a token takes.
+        During a receive: when the target has been silent for too long.  Watched by the
+        pool; a separate curio timeout for each receive took a fifth of the time to
+        relay a token.
     """
 
     __slots__ = (
         "_clock",
-        "_given_up",
+        "_is_shut_down",
         "_http",
-        "_length_known",
+        "_is_length_known",
         "_method",
         "_settings",
         "_socket",
-        "careful_deadline",
+        "non_idempotent_deadline",
         "idle_deadline",
         "silence_deadline",
         "written",
@@ -72,17 +72,17 @@
     def __init__(self, socket, settings, clock):
         self._socket = socket
         self._clock = clock
-        self._given_up = False
+        self._is_shut_down = False
         self._settings = settings
         self._http = h11.Connection(
             h11.CLIENT,
             max_incomplete_event_size=settings.response_head_limit_bytes,
         )
-        self._length_known = True
+        self._is_length_known = True
         self._method = None
         self.written = False
         self.idle_deadline = None
-        self.careful_deadline = None
+        self.non_idempotent_deadline = None
         self.silence_deadline = None
 
     async def send_request(self, method, path, headers, body):
@@ -91,9 +91,10 @@
         Raises
         ------
         ConnectionLostError
-            If the connection failed; ``written`` tells whether a byte may have left.
+            If the connection failed; ``written`` tells whether a byte may have been
+            sent.
         TargetError
-            If the request can't be written as HTTP; nothing was sent.
+            If the request can't be encoded as HTTP; nothing was sent.
         """
         self._method = method
         try:
@@ -103,12 +104,12 @@
                 data += self._http.send(h11.Data(data=body))
             data += self._http.send(h11.EndOfMessage())
         except h11.LocalProtocolError as error:
-            raise TargetError(f"can't be sent as HTTP: {error}") from error
+            raise TargetError(f"request can't be encoded as HTTP: {error}") from error
         await self._write(data)
 
     async def _write(self, data):
-        # A send that fails took no byte, so a failure of the first one means "not
-        # run".  `sendall` would hide whether some bytes had left before it failed.
+        # A send that fails has sent no byte, so a failure of the first one means "not
+        # run". `sendall` would hide whether some bytes were sent before the failure.
         view = memoryview(data)
         while view:
             try:
@@ -130,15 +131,15 @@
         while isinstance(event, h11.InformationalResponse):
             event = await self._next_event()
         if not isinstance(event, h11.Response):
-            raise TargetError("closed before the response")
+            raise TargetError("connection closed before the response")
         headers = [
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in event.headers
         ]
         names = {name for name, _ in headers}
-        # The end of a body that only the end of the connection marks can't be told
-        # from a target that died: such a body is never taken for whole.
-        self._length_known = (
+        # A body that is delimited by the end of the connection can't be distinguished
+        # from one that a crash of the target truncated, so it never counts as complete.
+        self._is_length_known = (
             "content-length" in names
             or "transfer-encoding" in names
             or event.status_code in BODILESS_STATUSES
@@ -153,16 +154,16 @@
         Raises
         ------
         TargetError
-            If the body broke off, or the target was silent or sent no HTTP.
+            If the body was truncated, or the target was silent or sent no HTTP.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
-            if not self._length_known:
-                raise TargetError("a body without a stated length ended")
+            if not self._is_length_known:
+                raise TargetError("response body without a length ended")
             return None
-        raise TargetError("the response broke off")
+        raise TargetError("connection closed within the response body")
 
     async def _next_event(self):
         try:
@@ -171,7 +172,7 @@
                 self._http.receive_data(await self._receive())
                 event = self._http.next_event()
         except h11.RemoteProtocolError as error:
-            raise TargetError(f"unreadable response: {error}") from error
+            raise TargetError(f"malformed HTTP response: {error}") from error
         return event
 
     async def _receive(self):
@@ -183,18 +184,18 @@
             raise TargetError(f"connection failed: {error}") from error
         finally:
             self.silence_deadline = None
-        if not data and self._given_up:
-            raise TargetError("silent past the limit")
+        if not data and self._is_shut_down:
+            raise TargetError("no data within the silence limit")
         return data
 
-    async def give_up(self):
-        """End a connection that is silent, so that the task that reads it goes on."""
-        self._given_up = True
+    async def shut_down(self):
+        """Shut down a silent connection, so that its reading task continues."""
+        self._is_shut_down = True
         with contextlib.suppress(OSError):
             await self._socket.shutdown(socket_module.SHUT_RDWR)
 
-    def make_idle(self):
-        """Get ready for another exchange.
+    def prepare_reuse(self):
+        """Prepare the connection for another exchange.
 
         Returns
         -------
@@ -206,21 +207,23 @@
         if self._http.their_state is not h11.DONE:
             return False
         self._http.start_next_cycle()
-        self._length_known = True
+        self._is_length_known = True
         self.written = False
         settings = self._settings
         self.idle_deadline = Deadline.after(self._clock, settings.idle_limit_s)
-        self.careful_deadline = Deadline.after(self._clock, settings.idle_reuse_limit_s)
+        self.non_idempotent_deadline = Deadline.after(
+            self._clock, settings.idle_reuse_limit_s
+        )
         return True
 
-    def usable(self, idempotent):
+    def is_usable(self, idempotent):
         """Return whether an idle connection may carry a request."""
-        deadline = self.idle_deadline if idempotent else self.careful_deadline
-        return not deadline.passed() and not self._readable()
+        deadline = self.idle_deadline if idempotent else self.non_idempotent_deadline
+        return not deadline.passed() and not self._is_readable()
 
-    def _readable(self):
-        # A target that closed an idle connection leaves it readable.  Writing to it
-        # would lose the request, with an unknown outcome.
+    def _is_readable(self):
+        # An idle connection that the target has closed is readable. A request written
+        # to it would be lost, with an unknown outcome.
         poller = select.poll()
         poller.register(self._socket.fileno(), select.POLLIN)
         return bool(poller.poll(0))
@@ -230,8 +233,8 @@
         await self._socket.close()
 
     async def abort(self):
-        """End the connection within an exchange.
+        """Reset the connection during an exchange.
 
-        A request that is still on its way must not run once it was given up.
+        A request that is still in transit must not run after it was given up.
         """
         await reset(self._socket)
--- a/siskinthread/targets/_pool.py
+++ b/siskinthread/targets/_pool.py
@@ -1,4 +1,4 @@
-"""Kept-alive connections to one target."""
+"""Persistent connections to one target."""
 
 import socket
 
@@ -7,8 +7,8 @@
 from siskinthread.errors import ConnectionLostError
 from siskinthread.targets._connection import TargetConnection
 
-# Looks at the silence of connections within each silence limit.
-WATCH_SHARE = 0.25
+# Interval of the checks for silent connections, as a share of the silence limit.
+WATCH_INTERVAL_SHARE = 0.25
 
 
 class ConnectionPool:
@@ -22,52 +22,53 @@
         Clock of the ages.
     """
 
-    __slots__ = ("_clock", "_idle", "_in_use", "_settings", "_watching")
+    __slots__ = ("_clock", "_idle", "_in_use", "_settings", "_is_watching")
 
     def __init__(self, settings, clock):
         self._settings = settings
         self._clock = clock
         self._idle = []
         self._in_use = set()
-        self._watching = False
+        self._is_watching = False
 
-    async def take(self, idempotent):
-        """Return a connection, the one used last if it is still good.
+    async def acquire(self, idempotent):
+        """Return a connection, preferably the idle one that was used last.
 
         Parameters
         ----------
         idempotent : bool
-            Whether the request may be repeated; else only a fresh one is reused.
+            Whether the request may be repeated; otherwise only a connection that was
+            used recently is reused.
 
         Raises
         ------
         ConnectionLostError
             If the target can't be reached; nothing was sent.
         """
-        connection = await self._take_idle(idempotent) or await self._open()
+        connection = await self._acquire_idle(idempotent) or await self._open()
         self._in_use.add(connection)
-        if not self._watching:
-            self._watching = True
+        if not self._is_watching:
+            self._is_watching = True
             await curio.spawn(self._watch, daemon=True)
         return connection
 
-    async def _take_idle(self, idempotent):
+    async def _acquire_idle(self, idempotent):
         while self._idle:
             connection = self._idle.pop()
-            if connection.usable(idempotent):
+            if connection.is_usable(idempotent):
                 return connection
             await connection.close()
         return None
 
     async def _watch(self):
-        """Give up silent connections, as long as any are in use."""
+        """Shut down silent connections as long as any are in use."""
         while self._in_use:
-            await curio.sleep(self._settings.silence_limit_s * WATCH_SHARE)
+            await curio.sleep(self._settings.silence_limit_s * WATCH_INTERVAL_SHARE)
             for connection in list(self._in_use):
                 deadline = connection.silence_deadline
                 if deadline is not None and deadline.passed():
-                    await connection.give_up()
-        self._watching = False
+                    await connection.shut_down()
+        self._is_watching = False
 
     async def _open(self):
         address = self._settings.address
@@ -83,17 +84,17 @@
         opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return TargetConnection(opened, self._settings, self._clock)
 
-    async def give_back(self, connection):
-        """Take a connection back after an exchange, or close it."""
+    async def release(self, connection):
+        """Return a connection to the pool after an exchange, or close it."""
         self._in_use.discard(connection)
-        room = len(self._idle) < self._settings.idle_connections_limit
-        if room and connection.make_idle():
+        has_room = len(self._idle) < self._settings.idle_connections_limit
+        if has_room and connection.prepare_reuse():
             self._idle.append(connection)
         else:
             await connection.close()
 
-    async def drop(self, connection):
-        """End a connection whose exchange broke off."""
+    async def discard(self, connection):
+        """Reset a connection whose exchange was not completed."""
         self._in_use.discard(connection)
         await connection.abort()
 
--- a/siskinthread/targets/_request.py
+++ b/siskinthread/targets/_request.py
@@ -1,8 +1,8 @@
-"""What an agent asks of its target."""
+"""Requests of an agent to its target."""
 
 
 class TargetRequest:
-    """One request for the target.
+    """One request to the target.
 
     Parameters
     ----------
--- a/siskinthread/targets/_target.py
+++ b/siskinthread/targets/_target.py
@@ -1,4 +1,4 @@
-"""The kinds of target and what is common to them."""
+"""The kinds of target and their common parts."""
 
 import json
 
@@ -7,7 +7,7 @@
 from siskinthread.errors import TargetError
 from siskinthread.targets._pool import ConnectionPool
 
-ANSWER_LIMIT_BYTES = 64 * 1024
+CONTROL_BODY_LIMIT_BYTES = 64 * 1024
 
 
 class TargetLoad:
@@ -16,7 +16,7 @@
     Parameters
     ----------
     running, waiting, capacity : int
-        Requests that run, that wait, and that can run at once.
+        Numbers of running and waiting requests, and of requests that can run at once.
     age_ms : int
         Age of the report when the target answered.
     """
@@ -58,7 +58,7 @@
         Raises
         ------
         TargetError, ConnectionLostError
-            If no readable answer came in time.
+            If no valid answer arrived in time.
         """
         status, body = await self.control("GET", "/load")
         if status != 200:
@@ -72,10 +72,10 @@
                 int(report.get("age_ms", 0)),
             )
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise TargetError(f"unreadable load report: {error!r}") from error
+            raise TargetError(f"malformed load report: {error!r}") from error
 
     async def control(self, method, path):
-        """Ask something small that may be repeated.
+        """Send a short request that may be repeated.
 
         Returns
         -------
@@ -85,28 +85,28 @@
         Raises
         ------
         TargetError, ConnectionLostError
-            If no whole answer came in time.
+            If no complete answer arrived in time.
         """
         try:
             return await curio.timeout_after(
                 self.settings.control_wait_s, self._control, method, path
             )
         except curio.TaskTimeout as error:
-            raise TargetError(f"no answer to {method} {path}") from error
+            raise TargetError(f"no answer to {method} {path} in time") from error
 
     async def _control(self, method, path):
-        connection = await self.pool.take(idempotent=True)
-        whole = False
+        connection = await self.pool.acquire(idempotent=True)
+        is_complete = False
         try:
             headers = [self.host_header(), ("content-length", "0")]
             await connection.send_request(method, path, headers, b"")
             head = await connection.receive_head()
             body = await _receive_body(connection)
-            whole = True
+            is_complete = True
         finally:
-            if not whole:
-                await self.pool.drop(connection)
-        await self.pool.give_back(connection)
+            if not is_complete:
+                await self.pool.discard(connection)
+        await self.pool.release(connection)
         return head.status, body
 
 
@@ -114,24 +114,24 @@
     body = b""
     while (data := await connection.receive_data()) is not None:
         body += data
-        if len(body) > ANSWER_LIMIT_BYTES:
-            raise TargetError("answer is over the limit")
+        if len(body) > CONTROL_BODY_LIMIT_BYTES:
+            raise TargetError("control response exceeds the size limit")
     return body
 
 
 class EngineTarget(Target):
-    """A model engine: it knows requests by id, resumes and cancels them."""
+    """A model engine: knows requests by id, can resume and cancel them."""
 
     __slots__ = ()
 
 
 class PlainTarget(Target):
-    """A plain service behind HTTP: it can't be asked about a request."""
+    """A plain HTTP service: can't be queried about a request."""
 
     __slots__ = ()
 
 
 def build_target(settings, clock):
-    """Return the target that the settings describe."""
+    """Return the target of the configured kind."""
     kinds = {"engine": EngineTarget, "plain": PlainTarget}
     return kinds[settings.kind](settings, clock)
--- a/siskinthread/targets/tests/fakes.py
+++ b/siskinthread/targets/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A target that plays scripted connections byte by byte."""
+"""A target with scripted connections."""
 
 import curio
 
@@ -12,7 +12,7 @@
 
 
 def chunked(*chunks, end=True):
-    """Return a chunked event stream as bytes of a response."""
+    """Return a response with a chunked event stream, as bytes."""
     head = (
         b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
         b"transfer-encoding: chunked\r\n\r\n"
@@ -22,7 +22,7 @@
 
 
 def sized(body, status=b"200 OK", length=None):
-    """Return a response with a stated length."""
+    """Return a response with a content length, as bytes."""
     length = len(body) if length is None else length
     return b"HTTP/1.1 %s\r\ncontent-length: %d\r\n\r\n%s" % (status, length, body)
 
@@ -33,9 +33,9 @@
     Parameters
     ----------
     *scripts : list of list
-        For each connection the list of what happens at each request: bytes to send, or
-        None to leave it without an answer.  After its last item a connection closes;
-        an item `STAY` keeps it open.
+        For each connection the response to each request: bytes to send, or None for no
+        answer.  After its last item a connection closes; an item `KEEP_OPEN` keeps it
+        open.
     """
 
     def __init__(self, *scripts):
@@ -54,7 +54,7 @@
 
     async def _play(self, socket, script):
         for item in script:
-            if item is STAY:
+            if item is KEEP_OPEN:
                 await curio.sleep(TEST_LIMIT_S)
             request = await self._receive(socket)
             if request is None:
@@ -82,17 +82,17 @@
         return head.decode()
 
     def lines(self):
-        """Return the request lines that arrived."""
+        """Return the request lines received."""
         return [head.split(" HTTP")[0] for head in self.requests]
 
     async def close(self):
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in self._tasks:
             await task.cancel()
         await self.socket.close()
 
 
-STAY = object()
+KEEP_OPEN = object()
 
 
 def request(**values):
@@ -141,7 +141,7 @@
         self.end = None
 
     @property
-    def word(self):
+    def result(self):
         """Outcome and reason."""
         return self.end.outcome, self.end.reason
 
--- a/siskinthread/targets/tests/test_engine.py
+++ b/siskinthread/targets/tests/test_engine.py
@@ -2,7 +2,14 @@
 
 from siskinthread.outcomes import Outcome, Reason
 from siskinthread.targets import open_call, resume_call
-from siskinthread.targets.tests.fakes import chunked, collect, request, run, sized, STAY
+from siskinthread.targets.tests.fakes import (
+    chunked,
+    collect,
+    KEEP_OPEN,
+    request,
+    run,
+    sized,
+)
 from siskinthread.timing import SYSTEM_CLOCK
 
 DONE = b"data: [DONE]\n\n"
@@ -10,11 +17,11 @@
 
 
 def test_engine_headers():
-    """An engine learns id, priority and account of a request."""
+    """An engine gets the id, priority and account of a request."""
 
     async def scenario(target, fake):
         answer = await collect(open_call(target, request(priority=3)))
-        assert answer.word == (Outcome.ANSWERED, Reason.COMPLETE)
+        assert answer.result == (Outcome.ANSWERED, Reason.COMPLETE)
         head = fake.requests[0].lower()
         assert "x-request-id: key/varsel/a b" in head
         assert "x-priority: 3" in head
@@ -24,18 +31,17 @@
     run("engine", [[chunked(b"data: a\n\n", DONE)]], scenario)
 
 
-def test_stream_that_breaks_is_resumed():
-    """A stream whose connection dies goes on from its next byte.
+def test_truncated_stream_is_resumed():
+    """A draft was truncated although the engine continued it.
 
-    Symptom: a draft breaks off although the engine goes on with it.  Sequence: the
-    connection between agent and engine dies, twice.  Cause: the request was not asked
-    for again by its id.
+    The connection between agent and engine fails twice, and the rest of the response is
+    requested by its id.
     """
 
     async def scenario(target, fake):
         answer = await collect(open_call(target, request()))
         assert answer.body == b"data: a\n\ndata: b\n\n" + DONE
-        assert answer.word == (Outcome.ANSWERED, Reason.COMPLETE)
+        assert answer.result == (Outcome.ANSWERED, Reason.COMPLETE)
         assert answer.end.length_bytes == len(answer.body)
         path = "GET /v1/requests/key%2Fvarsel%2Fa%20b?offset="
         assert fake.lines() == ["POST /alerts", f"{path}9", f"{path}18"]
@@ -49,52 +55,51 @@
 
 
 def test_answer_lost_before_its_head():
-    """An engine that dies after the request and does not know it: unknown."""
+    """The outcome is unknown if the engine fails and has forgotten the request."""
 
     async def scenario(target, fake):
         answer = await collect(open_call(target, request()))
-        assert answer.word == (Outcome.UNKNOWN, Reason.TARGET_SILENT)
+        assert answer.result == (Outcome.UNKNOWN, Reason.TARGET_SILENT)
 
     run("engine", [[None], [UNKNOWN_REQUEST]], scenario)
 
 
 def test_engine_restarted_mid_stream():
-    """A stream whose engine has forgotten it ends as failed, never as whole."""
+    """A stream that the engine has forgotten fails, and does not count as complete."""
 
     async def scenario(target, fake):
         answer = await collect(open_call(target, request()))
         assert answer.body == b"data: a\n\n"
-        assert answer.word == (Outcome.FAILED_RAN, Reason.TARGET_FAILED)
+        assert answer.result == (Outcome.FAILED_RAN, Reason.TARGET_FAILED)
 
     run("engine", [[chunked(b"data: a\n\n", end=False)], [UNKNOWN_REQUEST]], scenario)
 
 
 def test_stream_without_closing_event():
-    """A stream that ends in good HTTP order but without [DONE] is not whole.
+    """A draft lacked its last sentences and looked complete.
 
-    Symptom: a draft lacks its last sentences and looks finished.  Sequence: the engine
-    is shut down and closes its responses properly.  Cause: the end of the HTTP body was
-    taken for the end of the answer.
+    An engine that is shut down closes its responses properly, and the end of the HTTP
+    body was treated as the end of the answer.
     """
 
     async def scenario(target, fake):
         answer = await collect(open_call(target, request()))
-        assert answer.word == (Outcome.FAILED_RAN, Reason.TARGET_FAILED)
+        assert answer.result == (Outcome.FAILED_RAN, Reason.TARGET_FAILED)
 
     run("engine", [[chunked(b"data: a\n\n")]], scenario)
 
 
-def test_silent_engine_is_asked_and_cancelled():
-    """An engine that stays silent is asked a few times, then cancelled."""
+def test_silent_engine_is_queried_and_cancelled():
+    """A silent engine is queried a few times, then the request is cancelled."""
 
     async def scenario(target, fake):
         answer = await collect(open_call(target, request()))
-        assert answer.word == (Outcome.FAILED_RAN, Reason.TARGET_FAILED)
+        assert answer.result == (Outcome.FAILED_RAN, Reason.TARGET_FAILED)
         methods = [line.split()[0] for line in fake.lines()]
         assert methods == ["POST", "GET", "GET", "DELETE"]
 
-    silent = [chunked(b"data: a\n\n", end=False), STAY]
-    quiet = [chunked(end=False), STAY]
+    silent = [chunked(b"data: a\n\n", end=False), KEEP_OPEN]
+    quiet = [chunked(end=False), KEEP_OPEN]
     run(
         "engine",
         [silent, quiet, quiet, [sized(b"{}")]],
@@ -105,7 +110,7 @@
 
 
 def test_continuation_for_a_replaced_agent():
-    """A request of an earlier incarnation goes on from the offset that is wanted."""
+    """A request of an earlier incarnation continues at the requested offset."""
 
     async def scenario(target, fake):
         call = resume_call(target, "r-1", 9)
@@ -120,7 +125,7 @@
 
 
 def test_cancel_is_confirmed_by_the_engine():
-    """A cancellation that the engine confirms means that the request did run."""
+    """A cancellation that the engine confirms means that the request has run."""
 
     async def scenario(target, fake):
         call = open_call(target, request())
@@ -129,7 +134,7 @@
         assert await call.cancel() == Outcome.FAILED_RAN
         assert fake.lines()[-1].startswith("DELETE /v1/requests/")
 
-    running = [chunked(b"data: a\n\n", end=False), STAY]
+    running = [chunked(b"data: a\n\n", end=False), KEEP_OPEN]
     run("engine", [running, [sized(b"{}")]], scenario)
 
 
--- a/siskinthread/targets/tests/test_plain.py
+++ b/siskinthread/targets/tests/test_plain.py
@@ -5,17 +5,24 @@
 
 from siskinthread.outcomes import Outcome, Reason
 from siskinthread.targets import build_target, open_call, resume_call, TargetSettings
-from siskinthread.targets.tests.fakes import chunked, collect, request, run, sized, STAY
+from siskinthread.targets.tests.fakes import (
+    chunked,
+    collect,
+    KEEP_OPEN,
+    request,
+    run,
+    sized,
+)
 from siskinthread.timing import ManualClock, SYSTEM_CLOCK
 
 
 def test_whole_answer_of_any_status():
-    """A whole HTTP answer is an answer, whatever its status; the key is passed on."""
+    """A complete response is an answer, whatever its status; the key is passed on."""
 
     async def scenario(target, fake):
         answer = await collect(open_call(target, request()))
         assert (answer.head.status, answer.body) == (503, b"busy")
-        assert answer.word == (Outcome.ANSWERED, Reason.COMPLETE)
+        assert answer.result == (Outcome.ANSWERED, Reason.COMPLETE)
         assert answer.end.length_bytes == 4
         head = fake.requests[0].lower()
         assert "idempotency-key: k-1" in head
@@ -26,18 +33,18 @@
 
 
 def test_unreachable_is_not_run():
-    """A target that nobody listens for did not run the request."""
+    """A target without a listening socket has not run the request."""
 
     async def scenario(target, fake):
         await fake.socket.close()
         answer = await collect(open_call(target, request()))
-        assert answer.word == (Outcome.REFUSED_NOT_RUN, Reason.TARGET_UNREACHABLE)
+        assert answer.result == (Outcome.REFUSED_NOT_RUN, Reason.TARGET_UNREACHABLE)
 
     run("plain", [], scenario)
 
 
 @pytest.mark.parametrize(
-    ("response", "word"),
+    ("response", "result"),
     [
         (None, (Outcome.UNKNOWN, Reason.TARGET_SILENT)),
         (b"HTTP/1.1 200 O", (Outcome.UNKNOWN, Reason.TARGET_SILENT)),
@@ -46,38 +53,36 @@
         (b"HTTP/1.1 200 OK\r\n\r\nhalt", (Outcome.FAILED_RAN, Reason.TARGET_FAILED)),
     ],
 )
-def test_lost_answer(response, word):
-    """A response that breaks is never whole, and one never begun is unknown.
+def test_lost_answer(response, result):
+    """An alert was sent twice, or a truncated answer looked complete.
 
-    Symptom: a doubled alert, or half an answer that looks whole.  Sequence: the service
-    dies before, in or after the head of its answer.  Cause: silence was taken for "not
-    run", or the end of the connection for the end of the body.
+    The service dies before, within or after the head of its answer.  Silence was
+    treated as "not run", or the end of the connection as the end of the body.
     """
 
     async def scenario(target, fake):
         answer = await collect(open_call(target, request()))
-        assert answer.word == word
+        assert answer.result == result
         assert len(fake.requests) == 1
 
     run("plain", [[response]], scenario)
 
 
 def test_silent_target():
-    """A service that takes the request and says nothing has an unknown outcome."""
+    """The outcome is unknown if a service receives a request and does not answer."""
 
     async def scenario(target, fake):
         answer = await collect(open_call(target, request()))
-        assert answer.word == (Outcome.UNKNOWN, Reason.TARGET_SILENT)
+        assert answer.result == (Outcome.UNKNOWN, Reason.TARGET_SILENT)
 
-    run("plain", [[None, STAY]], scenario, SYSTEM_CLOCK, silence_limit_s=0.05)
+    run("plain", [[None, KEEP_OPEN]], scenario, SYSTEM_CLOCK, silence_limit_s=0.05)
 
 
 def test_stale_idle_connection_is_not_used():
-    """A kept-alive connection that the target has closed carries no request.
+    """An alert sometimes had an unknown outcome without any failure.
 
-    Symptom: now and then an alert has an unknown outcome for no reason.  Sequence: the
-    target closes an idle connection; the next request is written to it and no answer
-    comes.  Cause: the connection was reused without a look at whether it had ended.
+    The target had closed an idle connection; the next request was written to it without
+    a check, and no answer came.
     """
 
     async def scenario(target, fake):
@@ -95,9 +100,8 @@
 def test_old_idle_connection(idempotent, age_s, connections):
     """A non-idempotent request uses only a connection that was idle for a short time.
 
-    Symptom: as for a stale connection, in a narrower window.  Sequence: the target's
-    keep-alive limit strikes while the request is on its way.  Cause: the connection was
-    about as old as that limit.
+    Otherwise the target's keep-alive limit may expire while the request is in transit,
+    if the connection is about as old as this limit.
     """
 
     async def scenario(target, fake):
@@ -106,7 +110,7 @@
         await collect(open_call(target, request(idempotent=idempotent)))
         assert 3 - len(fake.scripts) == connections
 
-    script = [sized(b"one"), sized(b"two"), STAY]
+    script = [sized(b"one"), sized(b"two"), KEEP_OPEN]
     run("plain", [script, script, script], scenario)
 
 
@@ -122,10 +126,10 @@
         await task.cancel()
         assert await call.cancel() == Outcome.UNKNOWN
 
-    run("plain", [[None, STAY]], scenario)
+    run("plain", [[None, KEEP_OPEN]], scenario)
 
 
-def test_plain_service_cannot_be_asked():
-    """There is no way to go on with a request at a plain service."""
+def test_plain_service_cannot_be_resumed():
+    """A request at a plain service can't be resumed."""
     settings = TargetSettings(kind="plain", address=None)
     assert resume_call(build_target(settings, ManualClock()), "r-1", 0) is None
--- a/siskinthread/targets/tests/test_pool.py
+++ b/siskinthread/targets/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""What a target sees of connections that are given up."""
+"""What a target receives from connections that are given up."""
 
 import curio
 import pytest
@@ -9,11 +9,11 @@
 from siskinthread.timing import SYSTEM_CLOCK
 
 
-def test_connection_of_a_broken_exchange_is_reset():
+def test_connection_of_an_incomplete_exchange_is_reset():
     """A target runs a request long after its agent has given it up.
 
-    The agent closes the connection while the request is held up on its way; the kernel
-    goes on sending it.  A reset drops what has not arrived.
+    The agent closes the connection while the request is delayed in transit, and the
+    kernel continues to send it.  A reset discards what has not arrived.
     """
 
     async def main():
@@ -22,9 +22,9 @@
             address = Address(*listening.getsockname())
             settings = TargetSettings(kind="plain", address=address)
             pool = ConnectionPool(settings, SYSTEM_CLOCK)
-            connection = await pool.take(idempotent=True)
+            connection = await pool.acquire(idempotent=True)
             target, _ = await listening.accept()
-            await pool.drop(connection)
+            await pool.discard(connection)
             with pytest.raises(ConnectionResetError):
                 await target.recv(1)
             await target.close()
