--- a/siskinthread/poison_requests/__init__.py
+++ b/siskinthread/poison_requests/__init__.py
@@ -2,7 +2,7 @@
 
 ``fingerprint(host, path, caller, body)`` identifies a request by what its retries have
 in common.  `PoisonRegister` keeps the suspected requests.  ``async
-target_ended(fingerprint, instance_id)`` and ``async answered(fingerprint)`` report the
+target_crashed(fingerprint, instance_id)`` and ``async answered(fingerprint)`` report
 results of requests, and ``blocked_until(fingerprint)`` returns until when a request is
 blocked.  Hosts exchange its ``statements()``, which ``async hear(statements, source)``
 applies.
--- a/siskinthread/poison_requests/_part_guard.py
+++ b/siskinthread/poison_requests/_part_guard.py
@@ -151,7 +151,7 @@
         """
         tried = trial.names if trial is not None else frozenset()
         for name in self._candidates(names):
-            await self._register.target_ended_under_part(
+            await self._register.target_crashed_with_part(
                 name, instance_id, is_trial=name in tried
             )
 
--- a/siskinthread/poison_requests/_register.py
+++ b/siskinthread/poison_requests/_register.py
@@ -8,7 +8,7 @@
 from siskinthread.observability import part_logger
 from siskinthread.poison_requests._answered_parts import AnsweredParts
 from siskinthread.poison_requests._part_names import is_part
-from siskinthread.poison_requests._statements import ENDS_LIMIT, tag_of
+from siskinthread.poison_requests._statements import CRASHES_LIMIT, tag_of
 from siskinthread.poison_requests._suspect import Suspect
 from siskinthread.timing import Deadline
 
@@ -100,7 +100,7 @@
         """Return the `Suspect` of each part of requests at targets that crashed."""
         return [one for name, one in self._suspects.items() if is_part(name)]
 
-    async def target_ended_under_part(self, name, instance_id, is_trial):
+    async def target_crashed_with_part(self, name, instance_id, is_trial):
         """Record that a target crashed during a request of this host with a part.
 
         Parameters
@@ -249,7 +249,7 @@
             suspect.note_stored(() if statement is None else _counting_marks(statement))
 
     def _is_expired(self, statement):
-        newest_s = min((end.age_s for end in statement.ends), default=math.inf)
+        newest_s = min((crash.age_s for crash in statement.ends), default=math.inf)
         return newest_s > self._settings.memory_s
 
     def _should_be_written(self, suspect):
@@ -259,7 +259,7 @@
         if not marks:
             return True
         # Beyond the limit of crashes, hosts need not have kept the same ones.
-        is_full = len(suspect.stored_marks) >= ENDS_LIMIT and not suspect.is_observer
+        is_full = len(suspect.stored_marks) >= CRASHES_LIMIT and not suspect.is_observer
         return len(marks) >= self._stored_from_count(suspect) and not is_full
 
     def _stored_from_count(self, suspect):
@@ -285,10 +285,10 @@
     def _blocked_until_s(self, suspect):
         """Return until when a request is blocked, monotonic seconds."""
         settings = self._settings
-        end_count = len(suspect.counting_tags())
-        if end_count >= settings.end_limit_count:
+        crash_count = len(suspect.counting_tags())
+        if crash_count >= settings.end_limit_count:
             return suspect.last_at_s + settings.keep_off_s
-        if end_count >= settings.pause_count:
+        if crash_count >= settings.pause_count:
             return suspect.last_at_s + settings.pause_s
         return -math.inf
 
@@ -377,4 +377,6 @@
 
 
 def _counting_marks(statement):
-    return [(end.tag, end.is_trial) for end in statement.ends if not end.is_cleared]
+    return [
+        (crash.tag, crash.is_trial) for crash in statement.ends if not crash.is_cleared
+    ]
--- a/siskinthread/poison_requests/_statements.py
+++ b/siskinthread/poison_requests/_statements.py
@@ -6,7 +6,7 @@
 
 TAG_BYTES = 4
 # Exceeds the crashes that block a request plus the trials under way.
-ENDS_LIMIT = 8
+CRASHES_LIMIT = 8
 TENTHS_PER_SECOND = 10
 # Bits of the mark of a crash.
 CLEARED_BIT = 1
@@ -51,7 +51,7 @@
     ----------
     fingerprint : str
         Fingerprint of the request, or name of the part.
-    ends : list of EndStatement
+    crashes : list of CrashStatement
         Targets that have crashed during the request.
     was_answered : bool
         Whether a request with the part has ever been answered in full, as far as is
@@ -67,28 +67,28 @@
 
     def key(self):
         """Return a value that changes with the information in the statement."""
-        marks = sorted((end.tag, self._mark(end)) for end in self.ends)
+        marks = sorted((crash.tag, self._mark(crash)) for crash in self.ends)
         return self.fingerprint, tuple(marks)
 
     def covers(self, other):
         """Return whether this statement includes all information of another one."""
-        own = {end.tag: self._mark(end) for end in self.ends}
+        own = {crash.tag: self._mark(crash) for crash in self.ends}
         return all(
-            end.tag in own and not other._mark(end) & ~own[end.tag]
-            for end in other.ends
+            crash.tag in own and not other._mark(crash) & ~own[crash.tag]
+            for crash in other.ends
         )
 
     def as_rows(self):
         """Return the crashes as a JSON value."""
         return [
-            [end.tag, round(end.age_s * TENTHS_PER_SECOND), self._mark(end)]
-            for end in self.ends
+            [crash.tag, round(crash.age_s * TENTHS_PER_SECOND), self._mark(crash)]
+            for crash in self.ends
         ]
 
-    def _mark(self, end):
+    def _mark(self, crash):
         return (
-            CLEARED_BIT * end.is_cleared
-            + TRIAL_BIT * end.is_trial
+            CLEARED_BIT * crash.is_cleared
+            + TRIAL_BIT * crash.is_trial
             + ANSWERED_BIT * self.was_answered
         )
 
@@ -104,12 +104,12 @@
         try:
             marks = 0
             ends = []
-            for tag, age, mark in rows[:ENDS_LIMIT]:
+            for tag, age, mark in rows[:CRASHES_LIMIT]:
                 age_s = max(0, int(age)) / TENTHS_PER_SECOND
                 mark = int(mark)
                 is_cleared, is_trial = bool(mark & CLEARED_BIT), bool(mark & TRIAL_BIT)
                 ends.append(EndStatement(str(tag), age_s, is_cleared, is_trial))
                 marks |= mark
         except (TypeError, ValueError, KeyError, OverflowError) as error:
-            raise ProtocolError(f"unreadable ends of targets: {error!r}") from error
+            raise ProtocolError(f"malformed statement on crashes: {error!r}") from error
         return cls(str(fingerprint), ends, bool(marks & ANSWERED_BIT))
--- a/siskinthread/poison_requests/_suspect.py
+++ b/siskinthread/poison_requests/_suspect.py
@@ -1,13 +1,13 @@
 """One suspected request or prompt part, and the targets that crashed during it."""
 
 from siskinthread.poison_requests._statements import (
-    ENDS_LIMIT,
+    CRASHES_LIMIT,
     EndStatement,
     SuspectStatement,
 )
 
 
-class _End:
+class _Crash:
     """The crash of a target."""
 
     __slots__ = ("at_s", "is_cleared", "is_trial")
@@ -48,7 +48,7 @@
     """
 
     __slots__ = (
-        "_ends",
+        "_crashes",
         "changed_at_s",
         "fingerprint",
         "is_observer",
@@ -59,7 +59,7 @@
 
     def __init__(self, fingerprint):
         self.fingerprint = fingerprint
-        self._ends = {}
+        self._crashes = {}
         self.changed_at_s = 0.0
         self.is_observer = False
         self.stored_marks = frozenset()
@@ -68,11 +68,11 @@
 
     def add(self, tag, at_s, is_cleared, is_trial=False):
         """Add a crash; return whether it changes anything."""
-        known = self._ends.get(tag)
+        known = self._crashes.get(tag)
         if known is None:
-            self._ends[tag] = _End(at_s, is_cleared, is_trial)
+            self._crashes[tag] = _Crash(at_s, is_cleared, is_trial)
             self._drop_oldest()
-            return tag in self._ends
+            return tag in self._crashes
         known.at_s = min(known.at_s, at_s)
         is_new = is_cleared and not known.is_cleared
         is_new |= is_trial and not known.is_trial
@@ -84,16 +84,16 @@
         """Apply a statement; return whether it changes anything."""
         is_new = statement.was_answered and not self.was_answered
         self.was_answered = self.was_answered or statement.was_answered
-        for end in statement.ends:
-            at_s = now_s - end.age_s
-            is_new |= self.add(end.tag, at_s, end.is_cleared, end.is_trial)
+        for crash in statement.ends:
+            at_s = now_s - crash.age_s
+            is_new |= self.add(crash.tag, at_s, crash.is_cleared, crash.is_trial)
         return is_new
 
     def clear(self):
         """Clear all crashes so far; return whether any of them counted."""
-        counting = [end for end in self._ends.values() if not end.is_cleared]
-        for end in counting:
-            end.is_cleared = True
+        counting = [crash for crash in self._crashes.values() if not crash.is_cleared]
+        for crash in counting:
+            crash.is_cleared = True
         return bool(counting)
 
     def note_stored(self, marks):
@@ -104,36 +104,46 @@
 
     def counting_tags(self):
         """Return the tags of the crashes that count."""
-        return frozenset(tag for tag, end in self._ends.items() if not end.is_cleared)
+        return frozenset(
+            tag for tag, crash in self._crashes.items() if not crash.is_cleared
+        )
 
     def counting_marks(self):
         """Return the tags of the crashes that count, and whether each is of a trial."""
         return frozenset(
-            (tag, end.is_trial) for tag, end in self._ends.items() if not end.is_cleared
+            (tag, crash.is_trial)
+            for tag, crash in self._crashes.items()
+            if not crash.is_cleared
         )
 
-    def counting_ends(self):
+    def counting_crashes(self):
         """Return the times of the crashes that count, monotonic seconds, by tag."""
-        return {tag: end.at_s for tag, end in self._ends.items() if not end.is_cleared}
+        return {
+            tag: crash.at_s
+            for tag, crash in self._crashes.items()
+            if not crash.is_cleared
+        }
 
     def trial_tags(self):
         """Return the tags of the crashes that count and happened in trials."""
         return frozenset(
             tag
-            for tag, end in self._ends.items()
-            if end.is_trial and not end.is_cleared
+            for tag, crash in self._crashes.items()
+            if crash.is_trial and not crash.is_cleared
         )
 
     @property
     def last_at_s(self):
         """When the newest crash happened, monotonic seconds."""
-        return max(end.at_s for end in self._ends.values())
+        return max(crash.at_s for crash in self._crashes.values())
 
     def statement(self, now_s):
         """Return the current `SuspectStatement`."""
         ends = [
-            EndStatement(tag, max(0.0, now_s - end.at_s), end.is_cleared, end.is_trial)
-            for tag, end in self._ends.items()
+            EndStatement(
+                tag, max(0.0, now_s - crash.at_s), crash.is_cleared, crash.is_trial
+            )
+            for tag, crash in self._crashes.items()
         ]
         return SuspectStatement(self.fingerprint, ends, self.was_answered)
 
@@ -143,9 +153,9 @@
         The record is bounded, and the result of a trial must not be evicted by crashes
         that it explains.
         """
-        while len(self._ends) > ENDS_LIMIT:
+        while len(self._crashes) > CRASHES_LIMIT:
             oldest = min(
-                self._ends,
-                key=lambda tag: (self._ends[tag].is_trial, self._ends[tag].at_s),
+                self._crashes,
+                key=lambda tag: (self._crashes[tag].is_trial, self._crashes[tag].at_s),
             )
-            del self._ends[oldest]
+            del self._crashes[oldest]
--- a/siskinthread/poison_requests/_suspicion.py
+++ b/siskinthread/poison_requests/_suspicion.py
@@ -58,7 +58,7 @@
         times_s = [
             at_s
             for one in suspects
-            for tag, at_s in one.counting_ends().items()
+            for tag, at_s in one.counting_crashes().items()
             if self._tried_by_tag.get(tag) and self._tried_by_tag[tag] <= names
         ]
         return max(times_s, default=None)
@@ -76,14 +76,14 @@
     def _is_suspected_unanswered(self, suspect):
         if suspect.was_answered:
             return False
-        times_s = suspect.counting_ends().values()
+        times_s = suspect.counting_crashes().values()
         count = _count_incidents(times_s, self._settings.separate_s)
         return count >= self._settings.suspected_end_count
 
     def _unexplained_incident_count(self, suspect):
         times_s = [
             at_s
-            for tag, at_s in suspect.counting_ends().items()
+            for tag, at_s in suspect.counting_crashes().items()
             if tag not in self._explained_tags
         ]
         return _count_incidents(times_s, self._settings.moment_s)
--- a/siskinthread/poison_requests/tests/part_fleet.py
+++ b/siskinthread/poison_requests/tests/part_fleet.py
@@ -80,7 +80,7 @@
 
     Attributes
     ----------
-    ends_at_s : list of float
+    crash_times_s : list of float
         When targets crashed because of the crashing part.
     reached_at_s : list of float
         When requests with the crashing part reached targets.
@@ -107,7 +107,7 @@
         self._targets = [_Target(number) for number in range(target_count)]
         self._events = []
         self._order = itertools.count()
-        self.ends_at_s = []
+        self.crash_times_s = []
         self.reached_at_s = []
         self.refused = []
         self.answered = []
@@ -131,9 +131,9 @@
             self.clock.advance(max(0.0, passed_s))
             await action(time_s, *arguments)
 
-    async def end_target(self, now_s, number):
+    async def crash_target(self, now_s, number):
         """Crash a target for an unrelated reason."""
-        await self._end(now_s, self._targets[number])
+        await self._terminate(now_s, self._targets[number])
 
     async def _ask(self, now_s, parts):
         host = self._random.choice(self.hosts)
@@ -173,12 +173,12 @@
     async def _crash(self, now_s, target, name, request):
         if target.name != name:
             return
-        self.ends_at_s.append(now_s)
-        await self._end(now_s, target)
+        self.crash_times_s.append(now_s)
+        await self._terminate(now_s, target)
 
-    async def _end(self, now_s, target):
+    async def _terminate(self, now_s, target):
         name = target.name
-        lost = target.end(now_s + TARGET_DOWN_S)
+        lost = target.crash(now_s + TARGET_DOWN_S)
         for host, parts, trial in lost:
             await host.guard.target_ended(parts, name, trial)
             if trial is not None:
@@ -241,7 +241,7 @@
         """Its instance id."""
         return f"i-{self._number}-{self._start}"
 
-    def end(self, back_at_s):
+    def crash(self, back_at_s):
         """Crash; return the requests that are lost."""
         lost, self.requests = self.requests, []
         self._start += 1
--- a/siskinthread/poison_requests/tests/test_part_guard.py
+++ b/siskinthread/poison_requests/tests/test_part_guard.py
@@ -227,13 +227,15 @@
     for seed in range(SEEDS_COUNT):
         for is_delayed in (False, True):
             fleet = play(seed, host_count, **(delayed if is_delayed else {}))
-            ends_at_s = fleet.ends_at_s
-            fifth_at_s = ends_at_s[min(4, len(ends_at_s) - 1)]
-            late = [one for one in fleet.reached_at_s if one > fifth_at_s + WINDOW_S]
+            crash_times_s = fleet.crash_times_s
+            fifth_crash_s = crash_times_s[min(4, len(crash_times_s) - 1)]
+            late = [one for one in fleet.reached_at_s if one > fifth_crash_s + WINDOW_S]
             assert len(late) <= 3, (seed, is_delayed)
             if not is_delayed:
-                assert len(ends_at_s) <= 6, seed
-            refused = [one for one in fleet.refused if one > fifth_at_s + 2 * WINDOW_S]
+                assert len(crash_times_s) <= 6, seed
+            refused = [
+                one for one in fleet.refused if one > fifth_crash_s + 2 * WINDOW_S
+            ]
             assert len(refused) <= 0.05 * len(fleet.answered), (seed, is_delayed)
 
 
@@ -247,7 +249,7 @@
         fleet.request_each(0.025, 0.0, UNTIL_S, harmless_request)
         for at_s in (8.0, 12.0, 12.0, 17.0):
             for number in drawn.sample(range(16), 4):
-                fleet.at(at_s, fleet.end_target, number)
+                fleet.at(at_s, fleet.crash_target, number)
         await fleet.run(UNTIL_S)
         return len(fleet.refused)
 
