--- a/siskinthread/target_limits/tests/cold_model.py
+++ b/siskinthread/target_limits/tests/cold_model.py
@@ -234,7 +234,7 @@
     used = sum(one for _, one in played) / len(played)
     print(
         f"{host_count:4} hosts, {values}: {sum(one > run.bound for one in most)} of "
-        f"{len(most)} over it, most {max(most)} of {run.bound}, used {used:.2f}",
+        f"{len(most)} exceeded, most {max(most)} of {run.bound}, used {used:.2f}",
         flush=True,
     )
 
--- a/siskinthread/target_limits/tests/fault_model.py
+++ b/siskinthread/target_limits/tests/fault_model.py
@@ -234,7 +234,7 @@
     most = [one for one, _ in runs]
     used = sum(one for _, one in runs) / len(runs)
     print(
-        f"{name}: {sum(one > bound for one in most)} of {len(most)} over it, "
+        f"{name}: {sum(one > bound for one in most)} of {len(most)} exceeded, "
         f"most {max(most)} of {bound:g}, used {used:.2f}",
         flush=True,
     )
--- a/siskinthread/target_limits/tests/model.py
+++ b/siskinthread/target_limits/tests/model.py
@@ -78,7 +78,7 @@
         return True
 
 
-class EqualShares:
+class EqualShare:
     """A host that uses an equal share of the limit."""
 
     def __init__(self, clock, seed, turn, count):
@@ -113,7 +113,7 @@
     Parameters
     ----------
     strategy : type
-        `ByDemand` or `EqualShares`.
+        `ByDemand` or `EqualShare`.
     host_count : int
         Number of hosts.
     limit_per_s, asked_per_s : float
@@ -262,7 +262,7 @@
     for host_count in (2, 38, 300):
         for limit_per_s in (2.0, 20.0):
             for is_even in (True, False):
-                for strategy in (ByDemand, EqualShares):
+                for strategy in (ByDemand, EqualShare):
                     played = [
                         Run(
                             strategy,
@@ -280,8 +280,8 @@
                     print(
                         f"{host_count:4} hosts, {limit_per_s:4.0f} a second, "
                         f"{'even' if is_even else 'one '}, {strategy.__name__:10}: "
-                        f"{sum(one > allowed for one in most)} of {len(most)} over it, "
-                        f"most {max(most)} of {allowed:.0f}, used {used:.2f}",
+                        f"{sum(one > allowed for one in most)} of {len(most)} "
+                        f"exceeded, most {max(most)} of {allowed:.0f}, used {used:.2f}",
                         flush=True,
                     )
 
@@ -302,7 +302,7 @@
                 allowed = allowed_count(limit_per_s)
                 print(
                     f"{host_count:4} hosts, {limit_per_s:4.0f} a second, {name}: "
-                    f"{sum(one > allowed for one in most)} of {len(most)} over it, "
+                    f"{sum(one > allowed for one in most)} of {len(most)} exceeded, "
                     f"most {max(most)} of {allowed:.0f}",
                     flush=True,
                 )
