--- a/siskinthread/poison_requests/_settings.py
+++ b/siskinthread/poison_requests/_settings.py
@@ -12,7 +12,7 @@
         minimum=1,
         description="Targets that may crash during a request before the request is "
         "blocked. A harmless request is at a crashing target twice more by chance with "
-        "a probability of 1 in 256 if there are 16 targets (calculated).",
+        "a probability of 1 in 256 if there are 16 targets.",
     )
     keep_off_s = Item(
         float,
@@ -121,7 +121,7 @@
         default=64,
         minimum=1,
         description="Maximum number of parts of one request that are recorded when its "
-        "target crashes, parts that were never answered first.",
+        "target crashes. Parts that were never answered take precedence.",
     )
     answered_parts_limit = Item(
         int,
@@ -211,8 +211,8 @@
         float,
         default=25.0,
         minimum=0.0,
-        description="How long a read of the store may wait for a change. Each read is "
-        "a call; the store allows 30 s.",
+        description="How long a read of the store may wait for a change. Each read "
+        "costs one call; the store allows 30 s.",
     )
     store_retry_s = Item(
         float,
--- a/siskinthread/poison_requests/_suspicion.py
+++ b/siskinthread/poison_requests/_suspicion.py
@@ -90,7 +90,7 @@
 
 
 def _count_incidents(times_s, min_gap_s):
-    """Return the number of times that are at least `least_s` apart from each other."""
+    """Return the number of times that are at least `min_gap_s` apart."""
     count = 0
     last_s = None
     for at_s in sorted(times_s):
--- a/siskinthread/poison_requests/tests/test_write_turns.py
+++ b/siskinthread/poison_requests/tests/test_write_turns.py
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("count", COUNTS)
 @pytest.mark.parametrize("gone_count", [0, 1, 5])
 def test_one_of_the_hosts_that_know_each_other_writes(count, gone_count):
-    """Several hosts wrote a record when the first in the order were gone or cut off."""
+    """Several hosts wrote a record at once; the first ones may be gone or cut off."""
     positions = range(gone_count, count)
     for seed in range(RUN_COUNT):
         write_count, first_s = simulate_writes(positions, seed)
--- a/siskinthread/target_limits/_settings.py
+++ b/siskinthread/target_limits/_settings.py
@@ -52,7 +52,7 @@
         default=4.0,
         minimum=0.0,
         description="Callers' requests within `asked_memory_s` from which on a host "
-        "meters its share of a limit; with fewer, each request is sent at random.",
+        "meters its share of a limit; with fewer, requests are selected at random.",
     )
     urgent_memory_s = Item(
         float,
