--- a/siskinthread/poison_requests/_suspect.py
+++ b/siskinthread/poison_requests/_suspect.py
@@ -1,14 +1,14 @@
-"""One suspected request or part: the targets that have ended under it."""
+"""One suspected request or prompt part, and the targets that crashed during it."""
 
 from siskinthread.poison_requests._statements import (
-    ENDS_LIMIT,
+    CRASHES_LIMIT,
     EndStatement,
     SuspectStatement,
 )
 
 
-class _End:
-    """The end of a target."""
+class _Crash:
+    """The crash of a target."""
 
     __slots__ = ("at_s", "is_cleared", "is_trial")
 
@@ -19,58 +19,60 @@
 
 
 class Suspect:
-    """What is known of a request, or part of prompts, under which targets have ended.
+    """Crashes of targets during one request, or during requests with one prompt part.
 
     Parameters
     ----------
     fingerprint : str
-        The request, or the name of the part.
+        Fingerprint of the request, or name of the part.
 
     Attributes
     ----------
     changed_at_s : float
-        When something new was learnt, monotonic seconds.
-    is_author : bool
-        Whether this entry has learnt by itself something that the store may lack.
+        Time of the last change, monotonic seconds.
+    is_observer : bool
+        Whether this host has itself observed something that the store may lack.
     stored_marks : frozenset of tuple of str, bool
-        The ends that the store is known to have, as in `counting_marks`.
+        The crashes that the store is known to have, as in `counting_marks`.
     was_answered : bool
-        Whether a request with the part has been answered in full, within memory.
-    is_awaited : bool
-        Whether another entry has told of it and does not know that it was answered.
+        Whether a request with the part has been answered in full, as far as is
+        remembered.
+    is_peer_unaware : bool
+        Whether another host has reported the part without knowing that it was
+        answered.
 
     Notes
     -----
-    Ends are kept by the start of the target, and once cleared stay so.  So entries may
-    tell one another in any order, and more than once, and come to the same.
+    Crashes are keyed by the instance of the target and stay cleared once cleared, so
+    merging statements is commutative and idempotent.
     """
 
     __slots__ = (
-        "_ends",
+        "_crashes",
         "changed_at_s",
         "fingerprint",
-        "is_author",
-        "is_awaited",
+        "is_observer",
+        "is_peer_unaware",
         "stored_marks",
         "was_answered",
     )
 
     def __init__(self, fingerprint):
         self.fingerprint = fingerprint
-        self._ends = {}
+        self._crashes = {}
         self.changed_at_s = 0.0
-        self.is_author = False
+        self.is_observer = False
         self.stored_marks = frozenset()
         self.was_answered = False
-        self.is_awaited = False
+        self.is_peer_unaware = False
 
     def add(self, tag, at_s, is_cleared, is_trial=False):
-        """Take an end in; return whether that is new."""
-        known = self._ends.get(tag)
+        """Add a crash; return whether it changes anything."""
+        known = self._crashes.get(tag)
         if known is None:
-            self._ends[tag] = _End(at_s, is_cleared, is_trial)
+            self._crashes[tag] = _Crash(at_s, is_cleared, is_trial)
             self._drop_oldest()
-            return tag in self._ends
+            return tag in self._crashes
         known.at_s = min(known.at_s, at_s)
         is_new = is_cleared and not known.is_cleared
         is_new |= is_trial and not known.is_trial
@@ -79,71 +81,81 @@
         return is_new
 
     def merge(self, statement, now_s):
-        """Take what another one states; return whether anything of it is new."""
+        """Apply a statement; return whether it changes anything."""
         is_new = statement.was_answered and not self.was_answered
         self.was_answered = self.was_answered or statement.was_answered
-        for end in statement.ends:
-            at_s = now_s - end.age_s
-            is_new |= self.add(end.tag, at_s, end.is_cleared, end.is_trial)
+        for crash in statement.ends:
+            at_s = now_s - crash.age_s
+            is_new |= self.add(crash.tag, at_s, crash.is_cleared, crash.is_trial)
         return is_new
 
     def clear(self):
-        """Let no end so far count any more; return whether one did."""
-        counting = [end for end in self._ends.values() if not end.is_cleared]
-        for end in counting:
-            end.is_cleared = True
+        """Clear all crashes so far; return whether any of them counted."""
+        counting = [crash for crash in self._crashes.values() if not crash.is_cleared]
+        for crash in counting:
+            crash.is_cleared = True
         return bool(counting)
 
     def note_stored(self, marks):
-        """Note which ends the store has; it may have all that this entry has learnt."""
+        """Record the crashes that the store has; these may be all that are known."""
         self.stored_marks = frozenset(marks)
         if self.stored_marks == self.counting_marks():
-            self.is_author = False
+            self.is_observer = False
 
     def counting_tags(self):
-        """Return the names of the ends that count."""
-        return frozenset(tag for tag, end in self._ends.items() if not end.is_cleared)
+        """Return the tags of the crashes that count."""
+        return frozenset(
+            tag for tag, crash in self._crashes.items() if not crash.is_cleared
+        )
 
     def counting_marks(self):
-        """Return the names of the ends that count, and whether they were of tries."""
+        """Return the tags of the crashes that count, and whether each is of a trial."""
         return frozenset(
-            (tag, end.is_trial) for tag, end in self._ends.items() if not end.is_cleared
+            (tag, crash.is_trial)
+            for tag, crash in self._crashes.items()
+            if not crash.is_cleared
         )
 
-    def counting_ends(self):
-        """Return the times of the ends that count, monotonic seconds, by tag."""
-        return {tag: end.at_s for tag, end in self._ends.items() if not end.is_cleared}
+    def counting_crashes(self):
+        """Return the times of the crashes that count, monotonic seconds, by tag."""
+        return {
+            tag: crash.at_s
+            for tag, crash in self._crashes.items()
+            if not crash.is_cleared
+        }
 
     def trial_tags(self):
-        """Return the names of the ends that count and were those of tries."""
+        """Return the tags of the crashes that count and happened in trials."""
         return frozenset(
             tag
-            for tag, end in self._ends.items()
-            if end.is_trial and not end.is_cleared
+            for tag, crash in self._crashes.items()
+            if crash.is_trial and not crash.is_cleared
         )
 
     @property
     def last_at_s(self):
-        """When the newest end came, monotonic seconds."""
-        return max(end.at_s for end in self._ends.values())
+        """When the newest crash happened, monotonic seconds."""
+        return max(crash.at_s for crash in self._crashes.values())
 
     def statement(self, now_s):
-        """Return the `SuspectStatement` of this moment."""
+        """Return the current `SuspectStatement`."""
         ends = [
-            EndStatement(tag, max(0.0, now_s - end.at_s), end.is_cleared, end.is_trial)
-            for tag, end in self._ends.items()
+            EndStatement(
+                tag, max(0.0, now_s - crash.at_s), crash.is_cleared, crash.is_trial
+            )
+            for tag, crash in self._crashes.items()
         ]
         return SuspectStatement(self.fingerprint, ends, self.was_answered)
 
     def _drop_oldest(self):
-        """Keep the newest ends only, and those of tries longest.
+        """Keep the newest crashes only, and those in trials longest.
 
-        A record must not grow, and what a try has shown must not be forgotten for ends
+        The record is bounded, and the result of a trial must not be evicted by crashes
         that it explains.
         """
-        while len(self._ends) > ENDS_LIMIT:
+        while len(self._crashes) > CRASHES_LIMIT:
             oldest = min(
-                self._ends,
-                key=lambda tag: (self._ends[tag].is_trial, self._ends[tag].at_s),
+                self._crashes,
+                key=lambda tag: (self._crashes[tag].is_trial, self._crashes[tag].at_s),
             )
-            del self._ends[oldest]
+            del self._crashes[oldest]
