--- a/siskinthread/target_limits/_backoffs.py
+++ b/siskinthread/target_limits/_backoffs.py
@@ -136,7 +136,7 @@
         backoff = self._backoffs[instance_id]
         if backoff.end.passed():
             return f"{instance_id} has not answered since its back-off"
-        return f"{instance_id} is backed off for another {backoff.end.left_s():.2f} s"
+        return f"{instance_id} wants no request for {backoff.end.left_s():.2f} s"
 
     def statements(self):
         """Return a bounded number of `BackoffStatement` for the peers.
--- a/siskinthread/target_limits/_cold.py
+++ b/siskinthread/target_limits/_cold.py
@@ -359,10 +359,9 @@
             self._clock.monotonic_s(), self._settings.window_s
         )
         return (
-            f"{target.instance_id} is cold for another "
-            f"{self._cold_left_s(target):.2f} s, and {used_count} of the "
-            f"{self._quota(target)} requests a second are in use that this host, one "
-            f"of {self._host_count()}, may send it"
+            f"{target.instance_id} is cold for {self._cold_left_s(target):.2f} s, and "
+            f"{used_count} of the {self._quota(target)} requests a second are in use "
+            f"that this host, one of {self._host_count()}, may send it"
         )
 
     def forget(self, instance_id):
--- a/siskinthread/target_limits/_register.py
+++ b/siskinthread/target_limits/_register.py
@@ -194,8 +194,8 @@
         if limit.rate_per_s is not None:
             rate = f"takes {limit.rate_per_s:g} requests a second"
         return (
-            f"{instance_id} {rate} (stated {age_s:.2f} s ago), and callers send all "
-            f"hosts {self._asked_per_s(limit.service_name):.1f}"
+            f"{instance_id} {rate} (stated {age_s:.2f} s ago), and callers ask all "
+            f"entries for {self._asked_per_s(limit.service_name):.1f}"
         )
 
     def come_back_after_s(self, service_name, longest_s):
--- a/siskinthread/targets/_connection.py
+++ b/siskinthread/targets/_connection.py
@@ -104,7 +104,7 @@
                 data += self._http.send(h11.Data(data=body))
             data += self._http.send(h11.EndOfMessage())
         except h11.LocalProtocolError as error:
-            raise TargetError(f"request can't be encoded as HTTP: {error}") from error
+            raise TargetError(f"can't be sent as HTTP: {error}") from error
         await self._write(data)
 
     async def _write(self, data):
@@ -131,7 +131,7 @@
         while isinstance(event, h11.InformationalResponse):
             event = await self._next_event()
         if not isinstance(event, h11.Response):
-            raise TargetError("connection closed before the response")
+            raise TargetError("closed before the response")
         headers = [
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in event.headers
@@ -161,9 +161,9 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             if not self._is_length_known:
-                raise TargetError("response body without a length ended")
+                raise TargetError("a body without a stated length ended")
             return None
-        raise TargetError("connection closed within the response body")
+        raise TargetError("the response broke off")
 
     async def _next_event(self):
         try:
@@ -172,7 +172,7 @@
                 self._http.receive_data(await self._receive())
                 event = self._http.next_event()
         except h11.RemoteProtocolError as error:
-            raise TargetError(f"malformed HTTP response: {error}") from error
+            raise TargetError(f"unreadable response: {error}") from error
         return event
 
     async def _receive(self):
@@ -185,7 +185,7 @@
         finally:
             self.silence_deadline = None
         if not data and self._is_shut_down:
-            raise TargetError("no data within the silence limit")
+            raise TargetError("silent past the limit")
         return data
 
     async def shut_down(self):
--- a/siskinthread/targets/_engine_call.py
+++ b/siskinthread/targets/_engine_call.py
@@ -44,7 +44,7 @@
         head = await self._request_rest()
         if head.status == NOT_FOUND and not self._had_status(NOT_FOUND):
             await self._discard_connection()
-            return failure_end(self, "request is unknown to the engine")
+            return failure_end(self, "unknown to the engine")
         if self.head is None:
             self.head = head
             return head
