--- a/siskinthread/gateway/__init__.py
+++ b/siskinthread/gateway/__init__.py
@@ -14,6 +14,7 @@
     RequestFacts,
     TokenCounts,
 )
+from siskinthread.gateway._served_reads import ToldTable, ToldTargets
 from siskinthread.gateway._settings import GatewaySettings
 from siskinthread.gateway._snapshots import Snapshot
 from siskinthread.gateway._status import STATUS_OK, StatusPage
@@ -28,7 +29,6 @@
 )
 from siskinthread.gateway._target_following import TargetChange
 from siskinthread.gateway._target_list import TargetEntry
-from siskinthread.gateway._told import ToldTable, ToldTargets
 
 __all__ = [
     "STATUS_OK",
--- a/siskinthread/gateway/_avoided_targets.py
+++ b/siskinthread/gateway/_avoided_targets.py
@@ -9,11 +9,11 @@
 class _Declines:
     """Declines of one target without an answer between them."""
 
-    __slots__ = ("avoided", "count")
+    __slots__ = ("avoided_until", "count")
 
     def __init__(self):
         self.count = 0
-        self.avoided = None
+        self.avoided_until = None
 
 
 class AvoidedTargets:
@@ -33,19 +33,19 @@
     to decline; so it is avoided for longer each time.
     """
 
-    __slots__ = ("_clock", "_declines", "_settings", "_told")
+    __slots__ = ("_clock", "_declines", "_settings", "_peer_backoffs")
 
     def __init__(self, settings, clock):
         self._settings = settings
         self._clock = clock
         self._declines = {}
         # Until when targets are backed off that have asked peers for it.
-        self._told = {}
+        self._peer_backoffs = {}
 
     def declined(self, instance_id):
         """Note that a target has declined a request."""
         declines = self._declines.setdefault(instance_id, _Declines())
-        if declines.avoided is not None and not declines.avoided.passed():
+        if declines.avoided_until is not None and not declines.avoided_until.passed():
             # Requests that were under way say nothing new.
             return
         declines.count += 1
@@ -53,7 +53,7 @@
         wait_s = min(
             settings.avoided_s * 2 ** (declines.count - 1), settings.avoided_limit_s
         )
-        declines.avoided = Deadline.after(self._clock, wait_s)
+        declines.avoided_until = Deadline.after(self._clock, wait_s)
         _logger.event(
             "target avoided",
             target=instance_id,
@@ -68,10 +68,10 @@
     def hear(self, statements, told_by):
         """Take each `BackoffStatement` of a peer."""
         for statement in statements:
-            known = self._told.get(statement.instance_id)
+            known = self._peer_backoffs.get(statement.instance_id)
             if (
                 known is None
-                and len(self._told) >= self._settings.backoff.targets_limit
+                and len(self._peer_backoffs) >= self._settings.backoff.targets_limit
             ):
                 continue
             wait_s = statement.left_s + self._settings.backoff.told_margin_s
@@ -83,11 +83,11 @@
                     left_s=round(statement.left_s, 3),
                     told_by=told_by,
                 )
-            self._told[statement.instance_id] = end
+            self._peer_backoffs[statement.instance_id] = end
 
     def without(self, entries):
         """Return those of some targets that are not avoided."""
-        if not self._declines and not self._told:
+        if not self._declines and not self._peer_backoffs:
             return entries
         return [one for one in entries if not self._is_avoided(one.instance_id)]
 
@@ -97,16 +97,18 @@
 
     def drop_over(self):
         """Forget back-offs that are over, and declines of long ago."""
-        for instance_id in [one for one, end in self._told.items() if end.passed()]:
-            del self._told[instance_id]
+        for instance_id in [
+            one for one, end in self._peer_backoffs.items() if end.passed()
+        ]:
+            del self._peer_backoffs[instance_id]
         oldest_s = self._clock.monotonic_s() - self._settings.avoided_memory_s
         for instance_id, declines in list(self._declines.items()):
-            if declines.avoided.at_s < oldest_s:
+            if declines.avoided_until.at_s < oldest_s:
                 del self._declines[instance_id]
 
     def _is_avoided(self, instance_id):
         declines = self._declines.get(instance_id)
-        if declines is not None and not declines.avoided.passed():
+        if declines is not None and not declines.avoided_until.passed():
             return True
-        told = self._told.get(instance_id)
+        told = self._peer_backoffs.get(instance_id)
         return told is not None and not told.passed()
--- a/siskinthread/gateway/_domain_reachability.py
+++ b/siskinthread/gateway/_domain_reachability.py
@@ -65,7 +65,7 @@
         domain.unreachable[entry.instance_id] = now_s
         if domain.cut_off_at_s is not None:
             return
-        if len(domain.unreachable) >= self._needed_count(target_count):
+        if len(domain.unreachable) >= self._threshold(target_count):
             self._note_cut_off(name, domain, now_s)
         elif domain.check is None:
             domain.check = Deadline.after(self._clock, 0.0)
@@ -127,7 +127,7 @@
         ]
         return min(waits_s, default=None)
 
-    def _needed_count(self, target_count):
+    def _threshold(self, target_count):
         return max(1, min(self._settings.reachability_count, target_count))
 
     def _note_cut_off(self, name, domain, now_s):
--- a/siskinthread/gateway/_evacuations.py
+++ b/siskinthread/gateway/_evacuations.py
@@ -80,7 +80,7 @@
         taken_back : iterable of str
             Domains whose records were dropped since the last read.
         """
-        self._take(position, frozenset(domains), told_by, is_own=True)
+        self._apply(position, frozenset(domains), told_by, is_own=True)
         if position.era == self._position.era:
             now_s = self._clock.monotonic_s()
             self._release(dict.fromkeys(taken_back, now_s), told_by)
@@ -101,9 +101,9 @@
             return
         position, domains = statement.position, statement.domains
         if not is_reader or self._position is None or position.era is not None:
-            self._take(position, domains, told_by, is_own=False)
+            self._apply(position, domains, told_by, is_own=False)
         elif self._position.is_behind(position):
-            self._take(position, domains, told_by, is_own=True)
+            self._apply(position, domains, told_by, is_own=True)
         if statement.position.era != self._position.era:
             return
         now_s = self._clock.monotonic_s()
@@ -112,7 +112,7 @@
         )
         for domain, age_s in statement.kept_s.items():
             self._keep(domain, now_s - age_s)
-        self._settle(told_by)
+        self._update_domains(told_by)
 
     def domains(self):
         """Return the evacuated domains, a frozenset."""
@@ -170,7 +170,7 @@
             _logger.event("evacuated failure domain has no target", domain=domain)
         self._logged_empty = empty
 
-    def _take(self, position, listed, told_by, is_own):
+    def _apply(self, position, listed, told_by, is_own):
         known = self._position
         if not self._is_newer(position, is_own):
             return
@@ -194,7 +194,7 @@
         for domain in listed:
             self._kept_since_s.pop(domain, None)
             self._released_at_s.pop(domain, None)
-        self._settle(told_by)
+        self._update_domains(told_by)
 
     def _is_newer(self, position, is_own):
         """Return whether a position is of a later state than the one that is known.
@@ -218,7 +218,7 @@
             self._released_at_s[domain] = at_s
             self._taken_back_at_s.setdefault(domain, at_s)
             self._kept_since_s.pop(domain, None)
-        self._settle(told_by)
+        self._update_domains(told_by)
 
     def _keep(self, domain, since_s):
         """Keep a domain that a peer keeps evacuated over a restore."""
@@ -235,7 +235,7 @@
             now_s = self._clock.monotonic_s()
             self._release(dict.fromkeys(expired, now_s), "the end of its keeping")
 
-    def _settle(self, told_by):
+    def _update_domains(self, told_by):
         """Note what has changed, and tell those who listen."""
         before = self._domains
         self._domains = self._listed.union(self._kept_since_s)
--- a/siskinthread/gateway/_group_outages.py
+++ b/siskinthread/gateway/_group_outages.py
@@ -7,7 +7,7 @@
 
 import math
 
-from siskinthread.gateway._group_belief import GroupBelief
+from siskinthread.gateway._group_state import GroupState
 from siskinthread.observability import part_logger
 from siskinthread.peer_news import GroupOutageStatement
 from siskinthread.timing import Deadline
@@ -65,7 +65,7 @@
     """
 
     __slots__ = (
-        "_beliefs",
+        "_states",
         "_clock",
         "_health",
         "_listeners",
@@ -85,7 +85,7 @@
         self._targets = targets
         self._health = health
         self._progress = progress
-        self._beliefs = {}
+        self._states = {}
         # Since when groups stand still, monotonic seconds.
         self._stalls = {}
         # Until when a request that tests a broken group bars another one.
@@ -108,18 +108,18 @@
 
     def is_broken(self, group):
         """Return whether a group is believed broken."""
-        belief = self._beliefs.get(group)
-        return belief is not None and belief.is_broken
+        state = self._states.get(group)
+        return state is not None and state.is_broken
 
     def broken_groups(self):
         """Return the groups that are believed broken."""
-        return [group for group, one in self._beliefs.items() if one.is_broken]
+        return [group for group, one in self._states.items() if one.is_broken]
 
     def began_s_ago(self, group):
         """Return the seconds since a group broke, None if it is not broken."""
         if not self.is_broken(group):
             return None
-        return self._clock.monotonic_s() - self._beliefs[group].began_at_s
+        return self._clock.monotonic_s() - self._states[group].began_at_s
 
     def service_outage(self, service_name):
         """Return the `Outage` of a service without a usable group, or None."""
@@ -132,10 +132,10 @@
 
     def is_reported(self, group):
         """Return whether a report said lately that a group is broken."""
-        belief = self._beliefs.get(group)
-        if belief is None or not belief.is_broken:
+        state = self._states.get(group)
+        if state is None or not state.is_broken:
             return False
-        age_s = self._clock.monotonic_s() - belief.reported_at_s
+        age_s = self._clock.monotonic_s() - state.reported_at_s
         return age_s < self._settings.outage_reported_s
 
     def may_test(self, group):
@@ -147,7 +147,7 @@
 
     def is_test_due(self, group):
         """Return whether a broken group should get a request although others serve."""
-        seen_s_ago = self._clock.monotonic_s() - self._beliefs[group].seen_at_s
+        seen_s_ago = self._clock.monotonic_s() - self._states[group].seen_at_s
         is_old = seen_s_ago >= self._settings.group_ejection_s
         return is_old and self.may_test(group)
 
@@ -174,20 +174,20 @@
         """
         if group is None:
             return
-        belief = self._belief(group)
-        if not belief.is_broken and sent_at_s < belief.learnt_at_s:
+        state = self._state(group)
+        if not state.is_broken and sent_at_s < state.learnt_at_s:
             return
-        if not belief.is_broken or belief.is_suspected:
+        if not state.is_broken or state.is_suspected:
             self._break(group, "a decline", None)
-        belief.is_own = True
-        belief.seen_at_s = self._clock.monotonic_s()
+        state.is_own = True
+        state.seen_at_s = self._clock.monotonic_s()
 
     def note_served(self, group, sent_at_s=math.inf):
         """Note that a rank of a group has answered a request sent at some moment."""
         if not self.is_broken(group):
             return
-        belief = self._beliefs[group]
-        if sent_at_s > belief.seen_at_s:
+        state = self._states[group]
+        if sent_at_s > state.seen_at_s:
             self._open(group, None, "an answer", self._clock.monotonic_s())
 
     def note_opened(self, group, epoch, told_by):
@@ -216,36 +216,36 @@
             less the lag of reports.
         """
         group = report.group_name
-        belief = self._belief(group)
+        state = self._state(group)
         if not report.is_open:
-            self._note_broken_report(belief, report, observed_at_s)
-        elif not belief.is_broken:
-            belief.note_epoch(report.epoch, self._clock.monotonic_s())
-        elif belief.is_ended_by_report(report.epoch, observed_at_s):
+            self._note_broken_report(state, report, observed_at_s)
+        elif not state.is_broken:
+            state.note_epoch(report.epoch, self._clock.monotonic_s())
+        elif state.is_ended_by_report(report.epoch, observed_at_s):
             self._open(group, report.epoch, "a report", observed_at_s)
-        elif belief.epoch is None:
+        elif state.epoch is None:
             # It was open in this epoch just before it broke.
-            belief.epoch = report.epoch
+            state.epoch = report.epoch
 
     def hear(self, statements, told_by):
         """Take each `GroupOutageStatement` of a peer."""
         for statement in statements:
             seen_at_s = self._clock.monotonic_s() - statement.age_s
             if statement.is_open:
-                self._hear_open(statement, seen_at_s, told_by)
+                self._note_peer_open(statement, seen_at_s, told_by)
             else:
-                self._hear_broken(statement, seen_at_s, told_by)
+                self._note_peer_broken(statement, seen_at_s, told_by)
 
     def statements(self):
         """Return what peers should be told, a list of `GroupOutageStatement`."""
         oldest_s = self._clock.monotonic_s() - self._settings.outage_told_s
         own = [
-            (group, belief)
-            for group, belief in self._beliefs.items()
-            if belief.is_own and max(belief.seen_at_s, belief.learnt_at_s) > oldest_s
+            (group, state)
+            for group, state in self._states.items()
+            if state.is_own and max(state.seen_at_s, state.learnt_at_s) > oldest_s
         ]
         own.sort(key=lambda one: -one[1].learnt_at_s)
-        return [self._statement(group, belief) for group, belief in own]
+        return [self._statement(group, state) for group, state in own]
 
     def take_urgent(self):
         """Return the statements that all peers should get now."""
@@ -263,101 +263,101 @@
                 self._note_moving(group)
         oldest_s = self._clock.monotonic_s() - self._settings.outage_forgotten_s
         for group in self.broken_groups():
-            if self._beliefs[group].seen_at_s < oldest_s:
-                del self._beliefs[group]
+            if self._states[group].seen_at_s < oldest_s:
+                del self._states[group]
                 _logger.event("broken group forgotten", group=group)
 
-    def _belief(self, group):
-        belief = self._beliefs.get(group)
-        if belief is None:
-            if len(self._beliefs) >= GROUPS_LIMIT:
-                oldest = min(self._beliefs, key=lambda one: self._last_s(one))
-                del self._beliefs[oldest]
-            belief = self._beliefs[group] = GroupBelief(self._settings.outage_told_s)
-        return belief
+    def _state(self, group):
+        state = self._states.get(group)
+        if state is None:
+            if len(self._states) >= GROUPS_LIMIT:
+                oldest = min(self._states, key=lambda one: self._last_s(one))
+                del self._states[oldest]
+            state = self._states[group] = GroupState(self._settings.outage_told_s)
+        return state
 
     def _last_s(self, group):
-        return self._beliefs[group].learnt_at_s
+        return self._states[group].learnt_at_s
 
     def _unusable_since_s(self, group):
         if self.is_broken(group):
-            return self._beliefs[group].began_at_s
+            return self._states[group].began_at_s
         if self._progress.is_stalled(group):
             return self._stalls.setdefault(group, self._clock.monotonic_s())
         return None
 
-    def _note_broken_report(self, belief, report, observed_at_s):
+    def _note_broken_report(self, state, report, observed_at_s):
         group, epoch = report.group_name, report.epoch
-        if not belief.is_broken or belief.is_suspected:
-            if not belief.is_begun_by_report(epoch, observed_at_s):
+        if not state.is_broken or state.is_suspected:
+            if not state.is_begun_by_report(epoch, observed_at_s):
                 return
             self._break(group, "a report", epoch)
         if not self.is_reported(group):
             self._urgent[group] = URGENT_COUNT
-        belief.is_own = True
-        belief.epoch = epoch
-        belief.reported_at_s = self._clock.monotonic_s()
-        belief.seen_at_s = max(belief.seen_at_s, observed_at_s)
+        state.is_own = True
+        state.epoch = epoch
+        state.reported_at_s = self._clock.monotonic_s()
+        state.seen_at_s = max(state.seen_at_s, observed_at_s)
 
-    def _hear_open(self, statement, seen_at_s, told_by):
+    def _note_peer_open(self, statement, seen_at_s, told_by):
         group, epoch = statement.group_name, statement.epoch
-        belief = self._belief(group)
-        if not belief.is_broken:
-            belief.note_epoch(epoch, self._clock.monotonic_s())
-        elif belief.is_ended_by_peer(epoch, seen_at_s):
+        state = self._state(group)
+        if not state.is_broken:
+            state.note_epoch(epoch, self._clock.monotonic_s())
+        elif state.is_ended_by_peer(epoch, seen_at_s):
             self._open(group, epoch, told_by, seen_at_s, is_own=False)
 
-    def _hear_broken(self, statement, seen_at_s, told_by):
+    def _note_peer_broken(self, statement, seen_at_s, told_by):
         group, epoch = statement.group_name, statement.epoch
-        belief = self._belief(group)
+        state = self._state(group)
         now_s = self._clock.monotonic_s()
-        if not belief.is_broken:
-            if not belief.is_begun_by_peer(epoch, seen_at_s, now_s):
+        if not state.is_broken:
+            if not state.is_begun_by_peer(epoch, seen_at_s, now_s):
                 return
             self._break(group, told_by, epoch, now_s - statement.since_s)
-            belief.is_own = False
-        belief.is_suspected = False
-        belief.seen_at_s = max(belief.seen_at_s, seen_at_s)
-        if belief.epoch is None:
-            belief.epoch = epoch
+            state.is_own = False
+        state.is_suspected = False
+        state.seen_at_s = max(state.seen_at_s, seen_at_s)
+        if state.epoch is None:
+            state.epoch = epoch
         if statement.is_reported:
-            belief.reported_at_s = max(belief.reported_at_s, seen_at_s)
+            state.reported_at_s = max(state.reported_at_s, seen_at_s)
 
     def _break(self, group, told_by, epoch, began_at_s=None):
-        belief = self._belief(group)
+        state = self._state(group)
         now_s = self._clock.monotonic_s()
         if began_at_s is None:
             began_at_s = self._stalls.get(group, now_s)
-        belief.note_broken(epoch, began_at_s, now_s)
+        state.note_broken(epoch, began_at_s, now_s)
         _logger.event(
             "group broken",
             group=group,
             epoch=epoch,
             told_by=told_by,
-            since_s=round(now_s - belief.began_at_s, 3),
+            since_s=round(now_s - state.began_at_s, 3),
         )
 
     def _open(self, group, epoch, told_by, seen_at_s, is_own=True):
-        belief = self._belief(group)
+        state = self._state(group)
         now_s = self._clock.monotonic_s()
-        if not belief.note_open(epoch, seen_at_s, now_s):
+        if not state.note_open(epoch, seen_at_s, now_s):
             return
-        belief.is_own = is_own
+        state.is_own = is_own
         if is_own:
             self._urgent[group] = URGENT_COUNT
         self._tests.pop(group, None)
-        lasted_s = now_s - belief.began_at_s
+        lasted_s = now_s - state.began_at_s
         self._seconds.observe(lasted_s)
         _logger.event(
             "group open again",
             group=group,
-            epoch=belief.epoch,
+            epoch=state.epoch,
             told_by=told_by,
             seen_s_ago=round(now_s - seen_at_s, 3),
             lasted_s=round(lasted_s, 3),
         )
-        self._forget_failures(group, belief.began_at_s)
-        self._tell(group)
+        self._forget_failures(group, state.began_at_s)
+        self._notify(group)
 
     def _forget_failures(self, group, began_at_s):
         """Trust the ranks of a group that has opened as before its outage."""
@@ -371,22 +371,22 @@
         now_s = self._clock.monotonic_s()
         self._stalls.setdefault(group, now_s)
         if self.is_broken(group):
-            if self._beliefs[group].is_suspected:
-                self._beliefs[group].seen_at_s = now_s
+            if self._states[group].is_suspected:
+                self._states[group].seen_at_s = now_s
             return
         if any(self._health.is_passed_over(one) for one in ids):
             self._break(group, "a stall with a failed rank", None)
-            belief = self._beliefs[group]
-            belief.is_suspected = True
-            belief.is_own = False
-            belief.seen_at_s = now_s
+            state = self._states[group]
+            state.is_suspected = True
+            state.is_own = False
+            state.seen_at_s = now_s
 
     def _note_moving(self, group):
         """Note that a group does not stand still any more."""
         if not self.is_broken(group):
             del self._stalls[group]
-            self._tell(group)
-        elif self._beliefs[group].is_suspected:
+            self._notify(group)
+        elif self._states[group].is_suspected:
             self._open(group, None, "the end of its stall", self._clock.monotonic_s())
 
     def _ranks_by_group(self):
@@ -398,22 +398,22 @@
                 ranks.setdefault(group, []).append(entry.instance_id)
         return ranks
 
-    def _statement(self, group, belief):
+    def _statement(self, group, state):
         now_s = self._clock.monotonic_s()
         mark = 0
-        if belief.is_broken and belief.reported_at_s > 0:
+        if state.is_broken and state.reported_at_s > 0:
             # Told anew before what peers know is too old to count.
-            mark = int(2 * belief.reported_at_s / self._settings.outage_reported_s)
+            mark = int(2 * state.reported_at_s / self._settings.outage_reported_s)
         return GroupOutageStatement(
             group,
-            belief.epoch,
-            now_s - belief.began_at_s if belief.is_broken else None,
-            max(0.0, now_s - belief.seen_at_s),
+            state.epoch,
+            now_s - state.began_at_s if state.is_broken else None,
+            max(0.0, now_s - state.seen_at_s),
             self.is_reported(group),
             mark,
         )
 
-    def _tell(self, group):
+    def _notify(self, group):
         for callback in self._listeners:
             callback(group)
 
--- a/siskinthread/gateway/_group_progress.py
+++ b/siskinthread/gateway/_group_progress.py
@@ -80,7 +80,7 @@
 
     def pass_view(self, group):
         """Return the `PassView` of a group, by own streams or as peers tell."""
-        return PassView(self.pass_clock(group), lambda: self._newest_told(group))
+        return PassView(self.pass_clock(group), lambda: self._newest_peer_pass(group))
 
     def passes_s(self):
         """Return the time of the last pass of each group with own streams, seconds.
@@ -139,7 +139,7 @@
             return True
         return self.peers is not None and group in self.peers.stalled_groups()
 
-    def _newest_told(self, group):
+    def _newest_peer_pass(self, group):
         told = None if self.peers is None else self.peers.newest_pass(group)
         return None if told is None else ToldPass(*told)
 
--- a/siskinthread/gateway/_group_belief.py
+++ b/siskinthread/gateway/_group_state.py
@@ -3,7 +3,7 @@
 import math
 
 
-class GroupBelief:
+class GroupState:
     """Whether one group is broken, and how that is known.
 
     Parameters
--- a/siskinthread/gateway/_believed_outages.py
+++ b/siskinthread/gateway/_inferred_outages.py
@@ -25,7 +25,7 @@
         self.seen_at_s = began_at_s
 
 
-class BelievedOutages:
+class InferredOutages:
     """Which services have no target that is trusted.
 
     Parameters
@@ -54,7 +54,7 @@
         """Call `callback` with the name of each service that is usable again."""
         self._listeners.append(callback)
 
-    def note_none_trusted(self, service_name):
+    def note_all_ejected(self, service_name):
         """Note that no target of a service is trusted at this moment."""
         now_s = self._clock.monotonic_s()
         outage = self.service_outage(service_name)
--- a/siskinthread/gateway/_kept_targets.py
+++ b/siskinthread/gateway/_kept_targets.py
@@ -66,7 +66,7 @@
             self._lost_at_s = self._clock.monotonic_s()
         self._failed_call_at_s = began_at_s
 
-    def note_outage(self):
+    def note_outage_end(self):
         """Note an outage that ends at this moment, also of what the source lists."""
         now_s = self._clock.monotonic_s()
         self._grace = Deadline(self._clock, now_s + self._grace_s(now_s))
@@ -89,7 +89,7 @@
             until = Deadline.after(self._clock, self._settings.lapse_grace_s)
         self._kept[instance_id] = _Kept(until, is_prolonged=True)
 
-    def keep_as_told(self, instance_id, left_s):
+    def keep_as_stated(self, instance_id, left_s):
         """Keep a target for no longer than a peer that the source answers does."""
         until = Deadline.after(self._clock, min(left_s, self._settings.lapse_grace_s))
         own = self._kept.get(instance_id)
@@ -105,7 +105,7 @@
         """Return for how long a target is kept, seconds."""
         return self._kept[instance_id].until.left_s()
 
-    def over(self):
+    def expired(self):
         """Return the ids of those that have not come back in time."""
         return [
             instance_id
--- a/siskinthread/gateway/_reachability_checks.py
+++ b/siskinthread/gateway/_reachability_checks.py
@@ -32,7 +32,7 @@
         while True:
             self._woken.clear()
             for failure_domain, count in reachability.due_checks().items():
-                for entry in self._drawn(failure_domain, count):
+                for entry in self._sample(failure_domain, count):
                     await curio.spawn(self._check, entry, daemon=True)
             wait_s = reachability.next_check_s()
             if wait_s is None:
@@ -61,7 +61,7 @@
             if entry.failure_domain == failure_domain and not entry.is_leaving
         ]
 
-    def _drawn(self, failure_domain, count):
+    def _sample(self, failure_domain, count):
         """Return targets to check, chosen at random, as far as there are any."""
         if failure_domain in self._parts.targets.evacuated_domains():
             return []
--- a/siskinthread/gateway/_readers_word.py
+++ b/siskinthread/gateway/_reader_lease.py
@@ -11,7 +11,7 @@
 from siskinthread.timing import Deadline
 
 
-class Heard(enum.Enum):
+class ReadingOutcome(enum.Enum):
     """What a reading of a peer means to this host."""
 
     # It says nothing that may be believed.
@@ -19,10 +19,10 @@
     # There is nothing that this host has not read.
     CONFIRMED = "confirmed"
     # There is something behind this host's position.
-    MOVED = "moved"
+    AHEAD = "moved"
 
 
-class ReadersWord:
+class ReaderLease:
     """What readers have told, and for how long it counts.
 
     Parameters
@@ -48,10 +48,10 @@
         "_age_limit_s",
         "_clock",
         "_eras",
-        "_heard",
+        "_heard_expiry",
         "_settings",
-        "_tellers",
-        "_trusted",
+        "_readings_ahead",
+        "_trust_expiry",
     )
 
     def __init__(self, settings, age_limit_s, clock, eras):
@@ -59,45 +59,45 @@
         self._eras = eras
         self._age_limit_s = age_limit_s
         self._clock = clock
-        self._trusted = Deadline.after(clock, 0.0)
-        self._heard = Deadline.after(clock, 0.0)
+        self._trust_expiry = Deadline.after(clock, 0.0)
+        self._heard_expiry = Deadline.after(clock, 0.0)
         # Readings that are ahead of the own position, by the address of the peer.
-        self._tellers = {}
+        self._readings_ahead = {}
 
     def note_own_read(self):
         """Note an answer of the source itself."""
-        self._trusted = Deadline.after(self._clock, self._settings.table_word_s)
+        self._trust_expiry = Deadline.after(self._clock, self._settings.table_word_s)
 
-    def hear(self, reading, teller, position):
+    def hear(self, reading, sender, position):
         """Take what a reader has read.
 
         Parameters
         ----------
         reading : object
             Its ``position``, and ``age_s`` since the source answered it.
-        teller : siskinthread.settings.Address
+        sender : siskinthread.settings.Address
             The reader.
         position : siskinthread.source_eras.Position or None
             Up to where this host has read, or taken from peers.
 
         Returns
         -------
-        Heard
+        ReadingOutcome
         """
-        if position is None or not self._may_be_believed(reading, position):
-            return Heard.IGNORED
+        if position is None or not self._is_valid_reading(reading, position):
+            return ReadingOutcome.IGNORED
         until = Deadline.after(self._clock, self._settings.table_word_s)
-        self._heard = until
-        if not self._trusted.passed():
-            self._trusted = until
+        self._heard_expiry = until
+        if not self._trust_expiry.passed():
+            self._trust_expiry = until
         if reading.position.offset == position.offset:
-            return Heard.CONFIRMED
-        self._tellers[teller] = reading
-        return Heard.MOVED
+            return ReadingOutcome.CONFIRMED
+        self._readings_ahead[sender] = reading
+        return ReadingOutcome.AHEAD
 
     def left_s(self):
         """Return for how long this host is spared, seconds; 0 if it is not."""
-        return min(self._trusted.left_s(), self._heard.left_s())
+        return min(self._trust_expiry.left_s(), self._heard_expiry.left_s())
 
     def ahead(self, position):
         """Return the readers that are ahead of a position, the furthest first.
@@ -106,18 +106,20 @@
         -------
         list of tuple of siskinthread.settings.Address, object
         """
-        self._tellers = {
-            teller: reading
-            for teller, reading in self._tellers.items()
+        self._readings_ahead = {
+            sender: reading
+            for sender, reading in self._readings_ahead.items()
             if position.is_behind(reading.position)
         }
-        return sorted(self._tellers.items(), key=lambda one: -one[1].position.offset)
+        return sorted(
+            self._readings_ahead.items(), key=lambda one: -one[1].position.offset
+        )
 
     def forget_ahead(self):
         """Forget what readers were ahead with; it could not be taken from them."""
-        self._tellers.clear()
+        self._readings_ahead.clear()
 
-    def _may_be_believed(self, reading, position):
+    def _is_valid_reading(self, reading, position):
         """Return whether a reading is of the own era, not behind, and not too old.
 
         Readings without an era count only where no era was ever reported to this
--- a/siskinthread/gateway/_service_outages.py
+++ b/siskinthread/gateway/_service_outages.py
@@ -1,6 +1,6 @@
 """Services without a usable target, and the requests that test whether it is over."""
 
-from siskinthread.gateway._believed_outages import BelievedOutages
+from siskinthread.gateway._inferred_outages import InferredOutages
 from siskinthread.observability import part_logger
 from siskinthread.timing import Deadline
 
@@ -34,10 +34,10 @@
     """
 
     __slots__ = (
-        "_believed",
+        "_inferred",
         "_choice",
         "_clock",
-        "_seen",
+        "_reported_began_at_s",
         "_settings",
         "_targets",
         "_tests",
@@ -49,9 +49,9 @@
         self._clock = parts.clock
         self._choice = parts.choice
         self._targets = parts.targets
-        self._believed = BelievedOutages(self._settings, parts.clock)
+        self._inferred = InferredOutages(self._settings, parts.clock)
         # When outages began that the reports of groups have shown, by service.
-        self._seen = {}
+        self._reported_began_at_s = {}
         # The last test of each service that has been tested.
         self._tests = {}
         self.reported = None
@@ -60,15 +60,15 @@
     def outage(self, service_name):
         """Return the outage of a service, an object with ``began_at_s``, or None."""
         if self.reported is None or not self._has_groups(service_name):
-            return self._believed.service_outage(service_name)
+            return self._inferred.service_outage(service_name)
         outage = self.reported.service_outage(service_name)
         if outage is not None:
-            self._seen[service_name] = outage.began_at_s
+            self._reported_began_at_s[service_name] = outage.began_at_s
             return outage
-        began_at_s = self._seen.pop(service_name, None)
+        began_at_s = self._reported_began_at_s.pop(service_name, None)
         if began_at_s is not None:
             length_s = self._clock.monotonic_s() - began_at_s
-            self._believed.lengths.note_ended(service_name, length_s)
+            self._inferred.lengths.note_ended(service_name, length_s)
         return None
 
     def expected_left_s(self, service_name):
@@ -76,11 +76,11 @@
         outage = self.outage(service_name)
         if outage is None:
             return 0.0
-        return self._believed.lengths.expected_left_s(service_name, outage.began_at_s)
+        return self._inferred.lengths.expected_left_s(service_name, outage.began_at_s)
 
     def note_served(self, service_name):
         """Note an answer or an event from a target of a service."""
-        self._believed.note_served(service_name)
+        self._inferred.note_served(service_name)
 
     def may_test(self, service_name):
         """Return whether a request may test now whether an outage is over."""
@@ -94,7 +94,7 @@
         """Note that a request is sent to a service that is down."""
         settings = self._settings
         interval_s = settings.test_interval_s
-        if request.service_name in self._seen:
+        if request.service_name in self._reported_began_at_s:
             interval_s = settings.reported_test_interval_s
         self._tests[request.service_name] = _Test(
             request,
@@ -119,7 +119,7 @@
         """Return whether a request may go to a target although all of them fail."""
         has_groups = self._has_groups(service_name)
         if self.reported is None or not has_groups:
-            self._believed.note_none_trusted(service_name)
+            self._inferred.note_all_ejected(service_name)
         if not self._settings.is_enabled:
             return True
         # All ranks of a group decline until it has formed anew, which the end of the
@@ -128,7 +128,7 @@
 
     def _is_reported_lately(self, service_name):
         """Return whether reports of groups show an outage that has just begun."""
-        began_at_s = self._seen.get(service_name)
+        began_at_s = self._reported_began_at_s.get(service_name)
         if began_at_s is None:
             return False
         passed_s = self._clock.monotonic_s() - began_at_s
--- a/siskinthread/gateway/_snapshots.py
+++ b/siskinthread/gateway/_snapshots.py
@@ -82,7 +82,7 @@
         "_peers",
         "_settings",
         "_table_follower",
-        "_taken",
+        "_last_announced",
         "_target_follower",
         "_targets",
         "_view",
@@ -109,7 +109,7 @@
         self._target_follower = target_follower
         self._settings = settings
         # What the peer of the last snapshot had told of before it was taken.
-        self._taken = None
+        self._last_announced = None
         # The newest version of a peer at the last look, while this host is spared.
         self._awaited_version = 0
         # Version of a peer for which the source was last asked again.
@@ -122,9 +122,9 @@
         while True:
             await curio.sleep(self._settings.snapshot_interval_s)
             if self._is_cut_off():
-                await self._take_snapshot()
+                await self._fetch_snapshot()
                 continue
-            self._taken = None
+            self._last_announced = None
             if self._is_behind():
                 await self._catch_up()
 
@@ -149,16 +149,16 @@
         still in force, also for a process that has only just started.
         """
         newest = self._peers.newest_version()
-        if self._is_being_told(newest):
+        if self._is_update_pending(newest):
             return
         informed = self._peers.informed_peers()
         if self._behind_version != newest or not informed:
             self._behind_version = newest
             await self._table_follower.read_again()
         else:
-            await self._take_from(informed[0], is_informed=True, with_targets=False)
+            await self._fetch_from(informed[0], is_informed=True, with_targets=False)
 
-    def _is_being_told(self, newest):
+    def _is_update_pending(self, newest):
         """Return whether a reader is about to hand the configuration over.
 
         A host that is spared its own reads is behind for a moment after each change.
@@ -174,17 +174,17 @@
         self._awaited_version = newest
         return True
 
-    async def _take_snapshot(self):
+    async def _fetch_snapshot(self):
         informed = self._peers.informed_peers()
         if informed:
-            await self._take_unless_known(informed[0])
-        elif self._knows_nothing():
+            await self._fetch_unless_known(informed[0])
+        elif self._lacks_data():
             # The sources are away for everybody.  What others still serve by is better
             # than refusing everything until they are back.
             for address in self._peers.serving_peers()[:1]:
-                await self._take_from(address, is_informed=False)
+                await self._fetch_from(address, is_informed=False)
 
-    async def _take_unless_known(self, address):
+    async def _fetch_unless_known(self, address):
         """Take the snapshot of an informed peer, unless it would tell nothing new.
 
         Symptom without this: 35 of 99 entries that the store turns away each ask a peer
@@ -195,17 +195,17 @@
         told = None
         if state is not None and state.listing is not None:
             told = (state.table_version, state.listing.digest)
-        if told is not None and told == self._taken and not self._knows_nothing():
+        if told is not None and told == self._last_announced and not self._lacks_data():
             self.dependency.answered()
             self._targets.note_confirmed(state.listing.age_s)
             return
-        if await self._take_from(address, is_informed=True):
-            self._taken = told
+        if await self._fetch_from(address, is_informed=True):
+            self._last_announced = told
 
-    def _knows_nothing(self):
+    def _lacks_data(self):
         return self._view.table is None or not self._targets.entries()
 
-    async def _take_from(self, address, is_informed, with_targets=True):
+    async def _fetch_from(self, address, is_informed, with_targets=True):
         """Take a peer's snapshot; return whether it came and was of use."""
         try:
             snapshot = await self._fetch(address)
@@ -224,5 +224,5 @@
                 told_by=str(address),
             )
         if with_targets:
-            return self._target_follower.take_snapshot(snapshot, is_informed, address)
+            return self._target_follower.apply_snapshot(snapshot, is_informed, address)
         return True
--- a/siskinthread/gateway/_suspect_readers.py
+++ b/siskinthread/gateway/_suspect_readers.py
@@ -2,7 +2,7 @@
 
 import curio
 
-from siskinthread.gateway._readers_word import Heard, ReadersWord
+from siskinthread.gateway._reader_lease import ReaderLease, ReadingOutcome
 from siskinthread.peer_news import SuspectsReading
 
 # How much longer than it may wait a read takes at most, seconds.
@@ -42,8 +42,8 @@
         "_peers",
         "_position",
         "_settings",
-        "_told",
-        "_word",
+        "_announced",
+        "_lease",
     )
 
     def __init__(self, settings, eras, peers, companion, clock):
@@ -52,15 +52,15 @@
         self._eras = eras
         self._peers = peers
         self._clock = clock
-        self._word = ReadersWord(
+        self._lease = ReaderLease(
             settings, settings.poison.store_wait_s + READ_MARGIN_S, clock, eras
         )
         # Up to where this host knows the store, and when it was answered last; None if
         # it was not since readers spared it a read.
         self._position = None
         self._answered_at_s = None
-        self._told = curio.Event()
-        eras.listen(self._told.set)
+        self._announced = curio.Event()
+        eras.listen(self._announced.set)
 
     def note_read(self, position):
         """Note that the store has answered up to a position."""
@@ -81,22 +81,22 @@
         age_s = self._clock.monotonic_s() - self._answered_at_s
         return SuspectsReading(self._position, age_s)
 
-    async def hear(self, reading, teller):
+    async def hear(self, reading, sender):
         """Take the `SuspectsReading` of a reader, and its address."""
-        self._word.note_own_read()
-        if self._word.hear(reading, teller, self._position) is Heard.MOVED:
-            await self._told.set()
+        self._lease.note_own_read()
+        if self._lease.hear(reading, sender, self._position) is ReadingOutcome.AHEAD:
+            await self._announced.set()
 
     async def rest(self):
         """Rest if readers spare this host a read; return whether they did."""
-        wait_s = self._word.left_s()
+        wait_s = self._lease.left_s()
         if self._awaits_companion():
             wait_s = self._settings.table_word_s
         elif not self._is_spared():
             return False
         self._answered_at_s = None
-        self._told.clear()
-        await curio.ignore_after(wait_s, self._told.wait)
+        self._announced.clear()
+        await curio.ignore_after(wait_s, self._announced.wait)
         return True
 
     def is_to_ask_at_once(self):
@@ -117,8 +117,8 @@
         position = self._position
         return (
             position is not None
-            and self._word.left_s() > 0
-            and not self._word.ahead(position)
+            and self._lease.left_s() > 0
+            and not self._lease.ahead(position)
             and self._eras.is_comparable(position.era)
             and not self._is_reader()
         )
--- a/siskinthread/gateway/_table_following.py
+++ b/siskinthread/gateway/_table_following.py
@@ -1,7 +1,7 @@
 """Following what operators publish.
 
 The first hosts of each failure domain read it, and tell the others up to where; these
-take what is new from a reader, or read once if none hands it out.  See `ReadersWord`
+take what is new from a reader, or read once if none hands it out.  See `ReaderLease`
 for when a host takes the word of readers, and reads for itself.
 """
 
@@ -13,7 +13,7 @@
     SourceRestoredError,
 )
 from siskinthread.gateway._dependency import Dependency
-from siskinthread.gateway._readers_word import Heard, ReadersWord
+from siskinthread.gateway._reader_lease import ReaderLease, ReadingOutcome
 from siskinthread.observability import part_logger
 from siskinthread.peer_news import EvacuationStatement, TableReading
 
@@ -69,10 +69,10 @@
         "_reading",
         "_settings",
         "_source",
-        "_told",
+        "_announced",
         "_view",
         "_woken",
-        "_word",
+        "_lease",
         "companion",
         "dependency",
         "evacuations",
@@ -93,8 +93,8 @@
         # Whether the source has answered this host since readers spared it a read.
         self._has_answer = False
         # Set whenever readers or an era may end the rest of a host that is spared.
-        self._told = curio.Event()
-        self._word = None
+        self._announced = curio.Event()
+        self._lease = None
         self._clock = clock
         self._eras = None
         self.evacuations = None
@@ -136,7 +136,7 @@
         """
         self._is_asked_again = True
         await self._woken.set()
-        await self._told.set()
+        await self._announced.set()
         if self._reading is not None:
             await self._reading.cancel(blocking=False)
 
@@ -152,8 +152,8 @@
         settings = self._settings
         if settings.table_readers_per_domain > 0:
             age_limit_s = settings.table_wait_s + settings.table_fresh_s
-            self._word = ReadersWord(settings, age_limit_s, self._clock, eras)
-        eras.listen(self._told.set)
+            self._lease = ReaderLease(settings, age_limit_s, self._clock, eras)
+        eras.listen(self._announced.set)
 
     def position(self):
         """Return up to where this host may tell that it has read, or None."""
@@ -163,47 +163,47 @@
     def statement(self):
         """Return what this host tells others as a reader, a `TableReading`, or None."""
         is_reading = self._has_answer and self.position() is not None
-        if self._word is None or not is_reading or not self._reads_for_others():
+        if self._lease is None or not is_reading or not self._reads_for_others():
             return None
         table = self._view.table
         version = 0 if table is None else table.version
         return TableReading(self._position, version, self.dependency.age_s())
 
-    async def hear(self, reading, teller):
+    async def hear(self, reading, sender):
         """Take what a reader of the own failure domain has read.
 
         Parameters
         ----------
         reading : siskinthread.peer_news.TableReading
             Up to where, and the age of its last answer.
-        teller : siskinthread.settings.Address
+        sender : siskinthread.settings.Address
             The reader.
         """
-        if self._word is None:
+        if self._lease is None:
             return
         await self._eras.note(reading.position.era, told_by="peer")
-        heard = self._word.hear(reading, teller, self._position)
-        if heard is Heard.CONFIRMED:
+        heard = self._lease.hear(reading, sender, self._position)
+        if heard is ReadingOutcome.CONFIRMED:
             self.dependency.confirmed(reading.age_s)
-        elif heard is Heard.MOVED:
-            self._hear_evacuations(teller)
-            await self._told.set()
+        elif heard is ReadingOutcome.AHEAD:
+            self._apply_evacuations(sender)
+            await self._announced.set()
 
-    def _hear_evacuations(self, teller):
+    def _apply_evacuations(self, sender):
         """Take the evacuations of a reader's datagram before the configuration.
 
         Taking the configuration may have to wait for two pauses, 0.8 s in all.
         """
-        state = None if self.peers is None else self.peers.state_of(teller)
+        state = None if self.peers is None else self.peers.state_of(sender)
         if state is not None and self.evacuations is not None:
-            self.evacuations.hear(state.evacuations, str(teller), is_reader=True)
+            self.evacuations.hear(state.evacuations, str(sender), is_reader=True)
 
     def is_spared(self):
         """Return whether readers spare this host its own reads at present."""
         return (
-            self._word is not None
+            self._lease is not None
             and self._position is not None
-            and self._word.left_s() > 0
+            and self._lease.left_s() > 0
             and not self._is_asked_again
             and not self.dependency.is_lost
             and not self._is_era_over()
@@ -218,7 +218,7 @@
         114.
         """
         return (
-            self._word is not None
+            self._lease is not None
             and not self._has_answer
             and self._position is not None
             and self.companion is not None
@@ -246,9 +246,9 @@
 
     async def _note_own_read(self):
         self._has_answer = True
-        if self._word is None:
+        if self._lease is None:
             return
-        self._word.note_own_read()
+        self._lease.note_own_read()
         if self.statement() is not None:
             await self.peers.tell_domain()
 
@@ -256,62 +256,62 @@
         """Rest, or take what is new from a reader; return whether no read is due."""
         if self._awaits_companion():
             # Its next answer has this host read again.
-            self._told.clear()
+            self._announced.clear()
             wait_s = self._settings.source_retry_limit_s
-            await curio.ignore_after(wait_s, self._told.wait)
+            await curio.ignore_after(wait_s, self._announced.wait)
             return True
         if not self.is_spared():
             return False
         # What this host tells, should it be a reader next, must be of its own reading.
         self._has_answer = False
-        if self._word.ahead(self._position):
-            return await self._take_from_reader()
-        self._told.clear()
-        await curio.ignore_after(self._word.left_s(), self._told.wait)
+        if self._lease.ahead(self._position):
+            return await self._fetch_from_reader()
+        self._announced.clear()
+        await curio.ignore_after(self._lease.left_s(), self._announced.wait)
         return True
 
-    async def _take_from_reader(self):
+    async def _fetch_from_reader(self):
         """Return whether what readers are ahead with could be taken from one."""
         # Else all hosts of the failure domain would ask the reader that tells first.
         await curio.sleep(self._settings.table_take_spread_s * self._random.random())
-        ahead = self._word.ahead(self._position)
+        ahead = self._lease.ahead(self._position)
         if not ahead:
             return True
         furthest = ahead[0][1].position.offset
-        teller, reading = self._random.choice(
+        sender, reading = self._random.choice(
             [one for one in ahead if one[1].position.offset == furthest]
         )
-        self._word.forget_ahead()
+        self._lease.forget_ahead()
         if self.fetch_told is None:
             return False
         try:
-            told = await self.fetch_told(teller)
+            told = await self.fetch_told(sender)
         except PlatformUnavailableError as error:
             _logger.event(
                 "configuration is read as no reader hands it out",
-                reader=str(teller),
+                reader=str(sender),
                 reason=str(error),
             )
             return False
         is_same_era = told.position.era == self._position.era
         if not is_same_era or self._is_era_over() or not told.is_as_new_as(reading):
-            _logger.event("reader hands out older configuration", reader=str(teller))
+            _logger.event("reader hands out older configuration", reader=str(sender))
             return False
-        self._take_told(told, reading, teller)
+        self._apply_served(told, reading, sender)
         # Changes come in series.
         await curio.sleep(self._settings.table_take_pause_s)
         return True
 
-    def _take_told(self, told, reading, teller):
+    def _apply_served(self, told, reading, sender):
         self._position = told.position
         self._source.take_told(told)
         self.dependency.confirmed(reading.age_s)
         if self.evacuations is not None:
             # Before the table, as with own reads.
             statement = EvacuationStatement(told.position, told.evacuated)
-            self.evacuations.hear(statement, str(teller), is_reader=True)
+            self.evacuations.hear(statement, str(sender), is_reader=True)
         if told.table is not None:
-            self._put_in_force(told.table, str(teller))
+            self._put_in_force(told.table, str(sender))
 
     async def _note_failure(self, error):
         if isinstance(error, PlatformUnavailableError):
@@ -352,7 +352,7 @@
             return [] if table is None else [table]
         # A source that has just failed is asked for an answer at once.
         is_urgent = self.dependency.is_lost or self._is_asked_again
-        if self._word is not None and not self._has_answer and self._is_reader():
+        if self._lease is not None and not self._has_answer and self._is_reader():
             # It tells others nothing until the source has answered it.
             is_urgent = True
         wait_s = 0.0 if is_urgent else self._settings.table_wait_s
--- a/siskinthread/gateway/_target_following.py
+++ b/siskinthread/gateway/_target_following.py
@@ -70,17 +70,17 @@
         "_digest",
         "_eras",
         "_furthest",
-        "_heard",
+        "_woken",
         "_is_restored",
         "_next_read",
-        "_own_due",
+        "_due_by_own_read",
         "_position",
         "_settings",
         "_source",
         "_targets",
         "_took_snapshot",
-        "_wanted",
-        "_wanted_from",
+        "_wanted_statement",
+        "_wanted_sender",
         "_when_regained",
         "dependency",
         "far_peers",
@@ -108,13 +108,13 @@
         self._confirmed_at_s = None
         self._next_read = Deadline.after(clock, 0.0)
         # The same, as far as nothing but the last own read has set it.
-        self._own_due = None
-        self._heard = curio.Event()
+        self._due_by_own_read = None
+        self._woken = curio.Event()
         self.dependency = Dependency("target list", clock)
         # What a peer has read that this host does not know, if it is to be taken.
-        self._wanted = None
+        self._wanted_statement = None
         # The reader of another failure domain that told of it, if one did.
-        self._wanted_from = None
+        self._wanted_sender = None
         self.peers = None
         self.far_peers = None
         self.fetch_told = None
@@ -123,7 +123,7 @@
         """Follow for ever."""
         while True:
             await self._wait_until_due()
-            if await self._take_from_reader():
+            if await self._fetch_from_reader():
                 continue
             began_at_s = self._clock.monotonic_s()
             try:
@@ -153,23 +153,23 @@
         age_s = self._clock.monotonic_s() - self._confirmed_at_s
         return ListStatement(self._position, self._digest.value, age_s)
 
-    async def hear_far(self, statement, teller=None):
+    async def hear_far(self, statement, sender=None):
         """Take what the reader of another failure domain has read, and pass it on.
 
         Parameters
         ----------
         statement : siskinthread.peer_news.ListStatement
             Position, digest and age of its read.
-        teller : siskinthread.settings.Address or None
+        sender : siskinthread.settings.Address or None
             The reader, from which a changed list may be taken.
         """
         if not await self.hear(statement):
-            if self._wanted is statement:
-                self._wanted_from = teller
+            if self._wanted_statement is statement:
+                self._wanted_sender = sender
             return
         confirmed_at_s = self._clock.monotonic_s() - statement.age_s
         if confirmed_at_s > (self._confirmed_at_s or 0.0):
-            await self._pass_on(confirmed_at_s)
+            await self._forward(confirmed_at_s)
 
     async def hear(self, statement):
         """Take what a peer has read.
@@ -204,12 +204,12 @@
                 self._next_read = Deadline.after(self._clock, left_s)
             return True
         if self._position.is_behind(statement.position):
-            self._wanted, self._wanted_from = statement, None
+            self._wanted_statement, self._wanted_sender = statement, None
             self._next_read = Deadline.after(self._clock, 0.0)
-            await self._heard.set()
+            await self._woken.set()
         return False
 
-    def take_snapshot(self, snapshot, is_informed, teller):
+    def apply_snapshot(self, snapshot, is_informed, sender):
         """Take a peer's targets while the source does not answer this host.
 
         Parameters
@@ -218,7 +218,7 @@
             What the peer knows.
         is_informed : bool
             Whether the source answers the peer.
-        teller : siskinthread.settings.Address
+        sender : siskinthread.settings.Address
             The peer.
 
         Returns
@@ -233,11 +233,11 @@
         if not is_informed and self._targets.entries():
             return True
         if is_informed and not self._is_new(listing):
-            _logger.event("peer's target list is older", peer=str(teller))
+            _logger.event("peer's target list is older", peer=str(sender))
             return False
         kept_left_s = snapshot.kept_left_s
         entries = self._targets.without_gone(snapshot.entries, kept_left_s)
-        told_by = f"snapshot of {teller}"
+        told_by = f"snapshot of {sender}"
         self._targets.replace(entries, is_informed, told_by, kept_left_s)
         self._took_snapshot = True
         if listing is not None:
@@ -254,10 +254,10 @@
         furthest = self._furthest
         return furthest is None or not listing.position.is_behind(furthest)
 
-    async def _take_from_reader(self):
+    async def _fetch_from_reader(self):
         """Take what a peer has told of from the reader; return whether that worked."""
-        wanted, self._wanted = self._wanted, None
-        far_address, self._wanted_from = self._wanted_from, None
+        wanted, self._wanted_statement = self._wanted_statement, None
+        far_address, self._wanted_sender = self._wanted_sender, None
         if wanted is None or self.fetch_told is None or self.peers is None:
             return False
         if len(self._targets.entries()) > self._settings.told_targets_limit:
@@ -274,9 +274,9 @@
         left_s = self._age_limit_s() - age_s
         if left_s <= 0:
             return False
-        self._take_told(told, age_s, address)
+        self._apply_served(told, age_s, address)
         self._next_read = Deadline.after(self._clock, left_s)
-        await self._pass_on(self._clock.monotonic_s() - age_s)
+        await self._forward(self._clock.monotonic_s() - age_s)
         return True
 
     async def _ask_reader(self, address, wanted):
@@ -295,14 +295,14 @@
         _logger.event("reader hands out an older list", reader=str(address))
         return None
 
-    def _take_told(self, told, age_s, teller):
+    def _apply_served(self, told, age_s, sender):
         self._position = self._furthest = told.position
         self._digest.replace(told.entries)
         self._source.take_told(told)
-        self._targets.replace(told.entries, told_by=f"reader {teller}")
+        self._targets.replace(told.entries, told_by=f"reader {sender}")
         self._targets.note_confirmed(age_s)
 
-    async def _pass_on(self, confirmed_at_s):
+    async def _forward(self, confirmed_at_s):
         """Tell the own domain of a read by another one, as its reader."""
         if self._reads_for_others():
             self._confirmed_at_s = confirmed_at_s
@@ -326,22 +326,22 @@
             wait_s = self._settings.reread_spread_s
         if wait_s < self._next_read.left_s():
             self._next_read = Deadline.after(self._clock, wait_s)
-            await self._heard.set()
+            await self._woken.set()
 
     async def _wait_until_due(self):
-        while not self._next_read.passed() or self._is_put_off():
-            self._heard.clear()
-            await curio.ignore_after(self._next_read.left_s(), self._heard.wait)
+        while not self._next_read.passed() or self._postpone_own_read():
+            self._woken.clear()
+            await curio.ignore_after(self._next_read.left_s(), self._woken.wait)
 
-    def _is_put_off(self):
+    def _postpone_own_read(self):
         """Put an own read off if a reader has been heard of since the last one.
 
         While a fleet starts, each host takes itself for the reader until it hears of
         others.  The list gets no older than `target_age_limit_s` all the same.
         """
-        if self._next_read is not self._own_due:
+        if self._next_read is not self._due_by_own_read:
             return False
-        self._own_due = None
+        self._due_by_own_read = None
         read_s_ago = self._clock.monotonic_s() - self._confirmed_at_s
         left_s = self._age_limit_s() - read_s_ago
         if left_s <= 0:
@@ -354,7 +354,7 @@
         spent_s = self._clock.monotonic_s() - began_at_s
         self._targets.note_confirmed(spent_s)
         left_s = max(0.0, self._age_limit_s() - spent_s)
-        self._next_read = self._own_due = Deadline.after(self._clock, left_s)
+        self._next_read = self._due_by_own_read = Deadline.after(self._clock, left_s)
         if self._reads_for_others():
             await self.peers.tell_domain()
             if self.far_peers is not None:
@@ -409,7 +409,7 @@
     def _note_end_of_outage(self):
         """Keep entries that lapsed in an outage for a while after its end."""
         if self.dependency.is_lost:
-            self._targets.note_outage()
+            self._targets.note_outage_end()
 
 
 class TargetChange:
--- a/siskinthread/gateway/_target_health.py
+++ b/siskinthread/gateway/_target_health.py
@@ -9,12 +9,12 @@
 class _Failures:
     """Failures of one target without a success between them."""
 
-    __slots__ = ("count", "first_at_s", "passed_over")
+    __slots__ = ("count", "first_at_s", "ejected_until")
 
     def __init__(self, first_at_s):
         self.count = 0
         self.first_at_s = first_at_s
-        self.passed_over = None
+        self.ejected_until = None
 
 
 class TargetHealth:
@@ -53,7 +53,7 @@
         """Note a request that failed because of the target."""
         now_s = self._clock.monotonic_s()
         failures = self._failures.setdefault(instance_id, _Failures(now_s))
-        if failures.passed_over is not None and not failures.passed_over.passed():
+        if failures.ejected_until is not None and not failures.ejected_until.passed():
             # Requests that were under way when it failed say nothing new.
             return
         failures.count += 1
@@ -61,7 +61,7 @@
         wait_s = min(
             settings.ejection_s * 2 ** (failures.count - 1), settings.ejection_limit_s
         )
-        failures.passed_over = Deadline.after(self._clock, wait_s)
+        failures.ejected_until = Deadline.after(self._clock, wait_s)
         _logger.event(
             "target passed over",
             target=instance_id,
@@ -73,7 +73,7 @@
     def is_passed_over(self, instance_id):
         """Return whether a target should get no request now."""
         failures = self._failures.get(instance_id)
-        return failures is not None and not failures.passed_over.passed()
+        return failures is not None and not failures.ejected_until.passed()
 
     def forget_since(self, instance_id, since_s):
         """Trust a target again all of whose failures are of a time that is over.
--- a/siskinthread/gateway/_target_list.py
+++ b/siskinthread/gateway/_target_list.py
@@ -174,9 +174,9 @@
         """Note that the source of the entries has not answered a call."""
         self._kept.note_failed_call(began_at_s)
 
-    def note_outage(self):
+    def note_outage_end(self):
         """Note that an outage of the source of the entries ends at this moment."""
-        self._kept.note_outage()
+        self._kept.note_outage_end()
 
     def put(self, entry, told_by=SOURCE):
         """Take an entry in, or its newer state.
@@ -189,9 +189,9 @@
             Who told of it, for the log.
         """
         self._kept.discard(entry.instance_id)
-        self._take(entry, told_by)
+        self._add(entry, told_by)
 
-    def _take(self, entry, told_by):
+    def _add(self, entry, told_by):
         if entry.instance_id in self._replaced:
             return
         self._note_restart(entry)
@@ -217,7 +217,7 @@
             )
         if entry.is_leaving and not (known is not None and known.is_leaving):
             _logger.event("target leaves", target=entry.instance_id, told_by=told_by)
-            self._tell(entry)
+            self._notify(entry)
 
     def vanish(self, listed_id, told_by=SOURCE):
         """Note that an entry is not listed any more."""
@@ -236,14 +236,16 @@
             return
         self._remove(entry, told_by)
 
-    def replace(self, entries, is_sure=False, told_by=SOURCE, kept_left_s=None):
+    def replace(
+        self, entries, is_authoritative=False, told_by=SOURCE, kept_left_s=None
+    ):
         """Take the whole list: what is not in it has vanished.
 
         Parameters
         ----------
         entries : list of TargetEntry
             The list.
-        is_sure : bool
+        is_authoritative : bool
             Whether it comes from a peer that has seen the source itself, so that an
             outage of this process's own path to it does not matter.
         told_by : str
@@ -262,9 +264,11 @@
             if entry.listed_id not in kept_left_s:
                 self.put(entry, told_by)
                 continue
-            self._take(entry, told_by)
+            self._add(entry, told_by)
             if entry.instance_id in self._entries:
-                self._kept.keep_as_told(entry.instance_id, kept_left_s[entry.listed_id])
+                self._kept.keep_as_stated(
+                    entry.instance_id, kept_left_s[entry.listed_id]
+                )
         if left_ids:
             _logger.event(
                 "listed targets have left", targets=sorted(left_ids), told_by=told_by
@@ -272,7 +276,7 @@
         for entry in list(self._entries.values()):
             if entry.instance_id in present:
                 continue
-            if is_sure:
+            if is_authoritative:
                 self._remove(entry, told_by, by_peer=True)
             else:
                 self.vanish(entry.listed_id, told_by)
@@ -343,7 +347,7 @@
         until they have reported again: a request that reached one long after its
         leaving was acknowledged would show it.
         """
-        self.note_outage()
+        self.note_outage_end()
         held = [one for one in entries if one.instance_id in self._gone]
         if held:
             ids = sorted(one.instance_id for one in held)
@@ -367,11 +371,11 @@
         entry = self._entries.get(instance_id)
         if entry is not None:
             entry.is_leaving = True
-            self._tell(entry)
+            self._notify(entry)
 
     def note_says_leaving(self, instance_id):
         """Note that an answer of a target says that it leaves."""
-        self._departures.note_said(instance_id)
+        self._departures.note_announced(instance_id)
         self.note_leaving(instance_id, "its answer")
 
     def hear_leaving(self, statements, told_by):
@@ -385,7 +389,7 @@
 
     def expire_kept(self):
         """Remove kept entries that did not come back in time."""
-        for instance_id in self._kept.over():
+        for instance_id in self._kept.expired():
             # Whoever is told of one may look at the list, which ends others.
             if instance_id in self._kept:
                 self._remove(self._entries[instance_id], GRACE)
@@ -447,8 +451,8 @@
             self._gone.popitem(last=False)
         _logger.event("target gone", target=entry.instance_id, told_by=told_by)
         if not entry.is_leaving:
-            self._tell(entry)
+            self._notify(entry)
 
-    def _tell(self, entry):
+    def _notify(self, entry):
         for callback in self._listeners:
             callback(entry)
--- a/siskinthread/gateway/_target_loads.py
+++ b/siskinthread/gateway/_target_loads.py
@@ -44,8 +44,8 @@
 
     __slots__ = (
         "_clock",
-        "_held",
-        "_held_are_told",
+        "_cached_totals",
+        "_cached_peers_report",
         "_own",
         "_reported",
         "_settings",
@@ -56,8 +56,8 @@
     def __init__(self, settings, clock):
         self._settings = settings
         self._clock = clock
-        self._held = None
-        self._held_are_told = False
+        self._cached_totals = None
+        self._cached_peers_report = False
         self._own = {}
         self._reported = {}
         # When own requests began, monotonic seconds, oldest first.
@@ -98,29 +98,29 @@
 
         A choice asks for the total of each of some hundred targets several times.
         """
-        self._held = {}
-        self._held_are_told = self._are_told()
+        self._cached_totals = {}
+        self._cached_peers_report = self._peers_report_loads()
         try:
             yield
         finally:
-            self._held = None
+            self._cached_totals = None
 
     def total(self, instance_id):
         """Return the number of requests that a target is believed to have."""
-        if self._held is None:
-            return self._total(instance_id, self._are_told())
-        total = self._held.get(instance_id)
+        if self._cached_totals is None:
+            return self._total(instance_id, self._peers_report_loads())
+        total = self._cached_totals.get(instance_id)
         if total is None:
-            total = self._total(instance_id, self._held_are_told)
-            self._held[instance_id] = total
+            total = self._total(instance_id, self._cached_peers_report)
+            self._cached_totals[instance_id] = total
         return total
 
-    def _are_told(self):
+    def _peers_report_loads(self):
         return self.peers is not None and self.peers.has_fresh_loads()
 
-    def _total(self, instance_id, are_told):
+    def _total(self, instance_id, peers_report):
         own = self.own(instance_id)
-        if are_told:
+        if peers_report:
             return own + self.peers.counts(instance_id)
         reported = self._reported.get(instance_id)
         if reported is None or reported.expiry.passed():
@@ -141,7 +141,7 @@
     def fleet_per_s(self):
         """Return the requests a second of this entry and its peers, from its own."""
         host_count = 1
-        if self._are_told():
+        if self._peers_report_loads():
             host_count += self.peers.sharing_count()
         return self._own_per_s() * host_count
 
@@ -151,7 +151,7 @@
 
     def source(self):
         """Return what others' requests are known by, for the log."""
-        if self._are_told():
+        if self._peers_report_loads():
             return "peers"
         return "the targets' own reports"
 
--- a/siskinthread/gateway/tests/test_avoided_targets.py
+++ b/siskinthread/gateway/tests/test_avoided_targets.py
@@ -65,4 +65,4 @@
     avoided.hear([BackoffStatement("i-2", 1.0)], "peer")
     now.advance(SETTINGS.avoided_memory_s + 1.0)
     avoided.drop_over()
-    assert (avoided._declines, avoided._told) == ({}, {})
+    assert (avoided._declines, avoided._peer_backoffs) == ({}, {})
--- a/siskinthread/gateway/tests/test_far_listing.py
+++ b/siskinthread/gateway/tests/test_far_listing.py
@@ -6,8 +6,8 @@
 from siskinthread.gateway import ToldTargets
 from siskinthread.gateway.tests.parts import entry, ids, SETTINGS
 from siskinthread.gateway.tests.test_target_following import (
-    behind,
     FakePeers,
+    later_position,
     run,
     same_list,
     until,
@@ -46,7 +46,7 @@
         following.far = peers
         following.peers.reader_address = lambda: None
         following.clock.advance(SETTINGS.target_age_limit_s + 0.01)
-        await following.follower._heard.set()
+        await following.follower._woken.set()
         await until(lambda: following.source.reads == 2)
         return await test(following)
 
@@ -111,7 +111,7 @@
 
     async def test(following):
         told = following.peers.told
-        following.source.position = behind(following.source.position, 1)
+        following.source.position = later_position(following.source.position, 1)
         await following.follower.hear_far(
             ListStatement(following.source.position, 5, 0.0)
         )
@@ -127,7 +127,7 @@
 
     async def test(following):
         asked = []
-        position = behind(following.source.position, 1)
+        position = later_position(following.source.position, 1)
 
         async def fetch(address):
             asked.append(address)
--- a/siskinthread/gateway/tests/test_kept_targets.py
+++ b/siskinthread/gateway/tests/test_kept_targets.py
@@ -14,7 +14,7 @@
     now = clock()
     targets = TargetList(SETTINGS, now)
     targets.replace([entry("i-1")])
-    targets.note_outage()
+    targets.note_outage_end()
     targets.vanish("i-1")
     return targets, now
 
@@ -49,7 +49,7 @@
         now.advance(answered_s)
         targets.note_failed_call(now.monotonic_s())
         now.advance(away_s)
-        targets.note_outage()
+        targets.note_outage_end()
         kept_s += answered_s + away_s
     assert kept_s < limit_s if limit_s else kept_s >= 60.0
 
@@ -75,7 +75,7 @@
     targets.replace([entry("i-1")])
     targets.note_failed_call(now.monotonic_s())
     now.advance(since_call_s)
-    targets.note_outage()
+    targets.note_outage_end()
     targets.vanish("i-1")
     now.advance(kept_s - STEP_S)
     assert targets.is_serving("i-1")
@@ -90,7 +90,7 @@
     targets = TargetList(SETTINGS, now)
     targets.replace([entry("i-1")])
     if own_s is not None:
-        targets.note_outage()
+        targets.note_outage_end()
         targets.vanish("i-1")
         now.advance(GRACE_S - own_s)
     targets.note_failed_call(now.monotonic_s())
@@ -124,7 +124,7 @@
     now = clock()
     targets = TargetList(SETTINGS, now)
     targets.replace([entry("i-1"), entry("i-2")])
-    targets.note_outage()
+    targets.note_outage_end()
     targets.replace([])
     told = []
 
--- a/siskinthread/gateway/tests/test_readers_word.py
+++ b/siskinthread/gateway/tests/test_reader_lease.py
@@ -7,7 +7,7 @@
 from siskinthread.gateway import GatewaySettings, ToldTable
 from siskinthread.gateway._dependency import Dependency
 from siskinthread.gateway._evacuations import Evacuations
-from siskinthread.gateway._readers_word import Heard, ReadersWord
+from siskinthread.gateway._reader_lease import ReaderLease, ReadingOutcome
 from siskinthread.gateway._table import RouteTable, TableView
 from siskinthread.gateway._table_following import TableFollower
 from siskinthread.gateway.tests.parts import clock
@@ -44,20 +44,20 @@
     def __init__(self, offset=10, era=1):
         self.clock = clock()
         self.eras = EraWatch(Metrics())
-        self.word = ReadersWord(SETTINGS, AGE_LIMIT_S, self.clock, self.eras)
+        self.word = ReaderLease(SETTINGS, AGE_LIMIT_S, self.clock, self.eras)
         self.position = Position(era, offset)
         self.word.note_own_read()
 
-    def hear(self, reading, teller=READER):
+    def hear(self, reading, sender=READER):
         """Take what a reader tells."""
-        return self.word.hear(reading, teller, self.position)
+        return self.word.hear(reading, sender, self.position)
 
 
 def test_word_of_a_reader_spares_a_host_for_a_while():
     """Guards against a host that relies on a reader which has fallen silent."""
     host = Word()
     assert host.word.left_s() == 0
-    assert host.hear(at(10)) is Heard.CONFIRMED
+    assert host.hear(at(10)) is ReadingOutcome.CONFIRMED
     assert host.word.left_s() == pytest.approx(SETTINGS.table_word_s)
     host.clock.advance(0.5)
     host.hear(at(10))
@@ -99,7 +99,7 @@
     source has not answered for long does not know more than this host.
     """
     host = Word()
-    assert host.hear(reading) is Heard.IGNORED
+    assert host.hear(reading) is ReadingOutcome.IGNORED
     assert host.word.left_s() == 0
     assert host.word.ahead(host.position) == []
 
@@ -107,9 +107,9 @@
 def test_reading_without_an_era_is_believed_where_none_was_ever_told():
     """Guards against a read of each host where the source reports no era."""
     host = Word(era=None)
-    assert host.hear(at(10, era=None)) is Heard.CONFIRMED
-    assert host.hear(at(11, era=None)) is Heard.MOVED
-    assert host.hear(at(9, era=None)) is Heard.IGNORED
+    assert host.hear(at(10, era=None)) is ReadingOutcome.CONFIRMED
+    assert host.hear(at(11, era=None)) is ReadingOutcome.AHEAD
+    assert host.hear(at(9, era=None)) is ReadingOutcome.IGNORED
 
 
 @pytest.mark.parametrize("told", [1, "unreadable"])
@@ -120,23 +120,23 @@
         host.eras.note_unreadable()
     else:
         curio.run(host.eras.note, told, "peer")
-    assert host.hear(at(12, era=None)) is Heard.IGNORED
+    assert host.hear(at(12, era=None)) is ReadingOutcome.IGNORED
     assert host.word.ahead(host.position) == []
     assert host.word.left_s() == 0
 
 
 def test_host_that_has_read_nothing_itself_believes_no_reader():
     """Guards against a start that depends on a peer."""
-    word = ReadersWord(SETTINGS, AGE_LIMIT_S, clock(), EraWatch(Metrics()))
-    assert word.hear(at(10), READER, None) is Heard.IGNORED
+    word = ReaderLease(SETTINGS, AGE_LIMIT_S, clock(), EraWatch(Metrics()))
+    assert word.hear(at(10), READER, None) is ReadingOutcome.IGNORED
     assert word.left_s() == 0
 
 
 def test_reader_that_is_furthest_comes_first():
     """Guards against taking the configuration from a reader that lags behind."""
     host = Word()
-    assert host.hear(at(11), OTHER) is Heard.MOVED
-    assert host.hear(at(12, version=2)) is Heard.MOVED
+    assert host.hear(at(11), OTHER) is ReadingOutcome.AHEAD
+    assert host.hear(at(12, version=2)) is ReadingOutcome.AHEAD
     assert [one for one, _ in host.word.ahead(host.position)] == [READER, OTHER]
     assert host.word.ahead(Position(1, 11))[0][0] == READER
     assert host.word.ahead(Position(1, 12)) == []
--- a/siskinthread/gateway/tests/test_told_targets.py
+++ b/siskinthread/gateway/tests/test_served_targets.py
@@ -5,7 +5,7 @@
 from siskinthread.errors import PlatformUnavailableError
 from siskinthread.gateway import ToldTargets
 from siskinthread.gateway.tests.parts import entry, ids, SETTINGS
-from siskinthread.gateway.tests.test_target_following import behind, run, until
+from siskinthread.gateway.tests.test_target_following import later_position, run, until
 from siskinthread.peer_news import ListStatement
 from siskinthread.settings import Address
 from siskinthread.source_eras import Position
@@ -20,7 +20,7 @@
         self.following = following
         self.asked = 0
         self.told = ToldTargets(
-            behind(following.source.position, 1),
+            later_position(following.source.position, 1),
             0.1,
             [entry("i-1", is_leaving=True), entry("i-2")],
         )
@@ -35,7 +35,7 @@
 
     async def tell(self):
         """Tell the host of another list at the next position."""
-        position = behind(self.following.source.position, 1)
+        position = later_position(self.following.source.position, 1)
         await self.following.follower.hear(ListStatement(position, 5, 0.0))
 
 
@@ -133,7 +133,7 @@
     async def test(following):
         following.clock.advance(SETTINGS.target_age_limit_s + 0.01)
         await following.reader.tell()
-        await following.follower._heard.set()
+        await following.follower._woken.set()
         await until(lambda: following.source.reads == 2)
         assert following.reader.asked == 0
 
--- a/siskinthread/gateway/tests/test_target_following.py
+++ b/siskinthread/gateway/tests/test_target_following.py
@@ -109,7 +109,7 @@
         await curio.sleep(0.002)
 
 
-def behind(position, count):
+def later_position(position, count):
     """Return the position some records behind another one."""
     return Position(position.era, position.offset + count)
 
@@ -117,7 +117,7 @@
 def same_list(following, age_s):
     """Return what a peer says that has read the same list further on."""
     own = following.follower.statement()
-    return ListStatement(behind(own.position, 50), own.digest, age_s)
+    return ListStatement(later_position(own.position, 50), own.digest, age_s)
 
 
 def test_read_is_put_off_once_a_reader_was_heard_of():
@@ -126,12 +126,12 @@
     async def test(following):
         following.peers.reader = False
         following.clock.advance(SETTINGS.target_interval_s + 0.01)
-        await following.follower._heard.set()
+        await following.follower._woken.set()
         left_s = SETTINGS.target_age_limit_s - SETTINGS.target_interval_s - 0.01
         await until(lambda: following.due_in_s() == pytest.approx(left_s))
         assert following.source.reads == 1
         following.clock.advance(left_s + 0.001)
-        await following.follower._heard.set()
+        await following.follower._woken.set()
         await until(lambda: following.source.reads == 2)
 
     run(test, reader=True)
@@ -170,7 +170,7 @@
     async def test(following):
         assert following.due_in_s() == pytest.approx(SETTINGS.target_age_limit_s)
         following.clock.advance(SETTINGS.target_age_limit_s + 0.01)
-        await following.follower._heard.set()
+        await following.follower._woken.set()
         await until(lambda: following.source.reads == 2)
 
     run(test)
@@ -225,7 +225,7 @@
         before = following.follower.statement().digest
         following.targets.note_leaving("i-1", told_by="its answer")
         following.clock.advance(SETTINGS.target_age_limit_s + 0.01)
-        await following.follower._heard.set()
+        await following.follower._woken.set()
         await until(lambda: following.source.reads == 2)
         await curio.sleep(0.01)
         return before == following.follower.statement().digest
@@ -264,7 +264,7 @@
     async def test(following):
         following.source.is_away = True
         following.clock.advance(SETTINGS.target_age_limit_s)
-        await following.follower._heard.set()
+        await following.follower._woken.set()
         await until(lambda: following.follower.dependency.is_lost)
         following.clock.advance(SETTINGS.lapse_grace_s + 0.1)
         following.source.is_away = False
--- a/siskinthread/gateway/tests/test_target_list.py
+++ b/siskinthread/gateway/tests/test_target_list.py
@@ -32,7 +32,7 @@
     targets report again within two seconds.
     """
     targets, now = build()
-    targets.note_outage()
+    targets.note_outage_end()
     now.advance(1.0)
     targets.replace([])
     assert ids(targets.serving("app")) == ["i-1", "i-2"]
@@ -45,7 +45,7 @@
     """A target that had said that it leaves does not come back by its lapse."""
     targets, _ = build()
     targets.put(entry("i-1", is_leaving=True))
-    targets.note_outage()
+    targets.note_outage_end()
     targets.vanish("i-1")
     assert ids(targets.serving("app")) == ["i-2"]
 
@@ -117,7 +117,7 @@
     targets, _ = build()
     targets.note_leaving("i-1", "its answer")
     targets.put(entry("i-1"))
-    targets.replace([entry("i-1"), entry("i-2")], is_sure=True)
+    targets.replace([entry("i-1"), entry("i-2")], is_authoritative=True)
     assert ids(targets.serving("app")) == ["i-2"]
     targets.vanish("i-1")
     targets.replace_by_older([entry("i-1"), entry("i-2")])
@@ -127,7 +127,7 @@
 def test_target_that_is_gone_is_not_listed_again_by_a_peer_that_keeps_it():
     """A host back from a cut handed on a gone server that it kept by grace."""
     targets, _ = build()
-    targets.replace([entry("i-2")], is_sure=True)
+    targets.replace([entry("i-2")], is_authoritative=True)
     told = targets.without_gone([entry("i-1"), entry("i-2"), entry("i-3")], {"i-1"})
     assert ids(told) == ["i-2", "i-3"]
     # One that this process has not known, or that the peer has listed, may be there.
@@ -138,7 +138,7 @@
 def test_kept_targets_are_told_apart():
     """Whoever takes the list over must know which of them only lapsed."""
     targets, _ = build()
-    targets.note_outage()
+    targets.note_outage_end()
     targets.vanish("i-1")
     assert targets.kept_ids() == {"i-1"}
 
@@ -154,13 +154,13 @@
 
 def test_leaving_that_a_peer_was_told_of_is_taken_and_told_on():
     """Each entry sent a request to a leaving target before it knew."""
-    teller, _ = build()
-    teller.note_says_leaving("i-1")
-    hearer, now = build()
-    hearer.hear_leaving(teller.leaving_statements(), "peer")
-    assert ids(hearer.serving("app")) == ["i-2"]
+    sender, _ = build()
+    sender.note_says_leaving("i-1")
+    receiver, now = build()
+    receiver.hear_leaving(sender.leaving_statements(), "peer")
+    assert ids(receiver.serving("app")) == ["i-2"]
     now.advance(SETTINGS.leaving_told_s / 2)
-    [told] = hearer.leaving_statements()
+    [told] = receiver.leaving_statements()
     assert (told.instance_id, told.age_s) == ("i-1", SETTINGS.leaving_told_s / 2)
 
 
