--- a/siskinthread/gateway/__init__.py
+++ b/siskinthread/gateway/__init__.py
@@ -1,9 +1,9 @@
-"""Entry that passes HTTP requests on to targets without agents.
+"""Entry that forwards HTTP requests to targets without agents.
 
 Interface: ``Gateway(settings, failure_domain, wire, table_source, target_source, clock,
 metrics, random)``; ``tasks()``, ``async serve_callers(listening socket)``, ``async
-serve_pages(listening socket, pages)``, ``async drain(deadline)``.  The sources hand in
-`RouteTable` and `TargetEntry` objects, the wire reads and writes headers; see
+serve_pages(listening socket, pages)``, ``async drain(deadline)``.  The sources supply
+`RouteTable` and `TargetEntry` objects, the wire parses and writes headers; see
 `Gateway`.
 """
 
--- a/siskinthread/gateway/_avoided_targets.py
+++ b/siskinthread/gateway/_avoided_targets.py
@@ -1,4 +1,4 @@
-"""Targets that get a request only if no other one can take it."""
+"""Targets that get a request only if no other target can serve it."""
 
 from siskinthread.observability import part_logger
 from siskinthread.timing import Deadline
@@ -7,7 +7,7 @@
 
 
 class _Declines:
-    """Declines of one target without an answer between them."""
+    """Consecutive declines of one target."""
 
     __slots__ = ("avoided_until", "count")
 
@@ -17,20 +17,20 @@
 
 
 class AvoidedTargets:
-    """Targets that have declined requests lately, or asked another entry to back off.
+    """Targets that have recently declined requests, or asked a peer to back off.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Times.
+        Durations.
     clock : siskinthread.timing.Clock
-        Clock of the times.
+        Clock for deadlines.
 
     Notes
     -----
-    A target that declines has none of the requests that it was sent, so that it looks
-    idle, and is chosen before those that work.  It says nothing of how long it is going
-    to decline; so it is avoided for longer each time.
+    A target that declines its requests appears idle, and would be preferred to targets
+    that serve theirs.  It does not state for how long it will decline, so the time for
+    which it is avoided grows exponentially.
     """
 
     __slots__ = ("_clock", "_declines", "_settings", "_peer_backoffs")
@@ -39,14 +39,14 @@
         self._settings = settings
         self._clock = clock
         self._declines = {}
-        # Until when targets are backed off that have asked peers for it.
+        # Deadlines of the back-offs that targets have requested of peers.
         self._peer_backoffs = {}
 
     def declined(self, instance_id):
         """Note that a target has declined a request."""
         declines = self._declines.setdefault(instance_id, _Declines())
         if declines.avoided_until is not None and not declines.avoided_until.passed():
-            # Requests that were under way say nothing new.
+            # Declines of requests that were already in flight give no new evidence.
             return
         declines.count += 1
         settings = self._settings
@@ -66,7 +66,7 @@
         self._declines.pop(instance_id, None)
 
     def hear(self, statements, told_by):
-        """Take each `BackoffStatement` of a peer."""
+        """Process each `BackoffStatement` of a peer."""
         for statement in statements:
             known = self._peer_backoffs.get(statement.instance_id)
             if (
@@ -86,17 +86,17 @@
             self._peer_backoffs[statement.instance_id] = end
 
     def without(self, entries):
-        """Return those of some targets that are not avoided."""
+        """Return the targets in `entries` that are not avoided."""
         if not self._declines and not self._peer_backoffs:
             return entries
         return [one for one in entries if not self._is_avoided(one.instance_id)]
 
     def forget(self, instance_id):
-        """Drop what is known of a target that gets no more requests."""
+        """Forget the declines of a target that gets no more requests."""
         self._declines.pop(instance_id, None)
 
     def drop_over(self):
-        """Forget back-offs that are over, and declines of long ago."""
+        """Forget back-offs that are over, and old declines."""
         for instance_id in [
             one for one, end in self._peer_backoffs.items() if end.passed()
         ]:
@@ -110,5 +110,5 @@
         declines = self._declines.get(instance_id)
         if declines is not None and not declines.avoided_until.passed():
             return True
-        told = self._peer_backoffs.get(instance_id)
-        return told is not None and not told.passed()
+        until = self._peer_backoffs.get(instance_id)
+        return until is not None and not until.passed()
--- a/siskinthread/gateway/_context.py
+++ b/siskinthread/gateway/_context.py
@@ -1,4 +1,4 @@
-"""What all connections of a gateway share."""
+"""State that all connections of a gateway share."""
 
 from siskinthread.http_server import BodyBudget
 
@@ -11,14 +11,14 @@
 
 
 class LiveSettings:
-    """The settings, with the callers' limits that operators publish.
+    """Settings, overridden by the published limits of callers.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Everything else, and the limits until the first are published.
+        All settings, including the limits that apply until some are published.
     view : TableView
-        The published ones.
+        The table in force, with the published limits.
     """
 
     __slots__ = ("_settings", "_view")
@@ -35,27 +35,27 @@
 
 
 class GatewayContext:
-    """What all connections share.
+    """State that all connections share.
 
     Parameters
     ----------
     settings : LiveSettings
-        Limits and waits.
+        Limits and time-outs.
     view : TableView
-        The routes in force.
+        The route table in force.
     parts : GatewayParts
-        The parts that requests need.
+        Components that process requests.
     dependencies : list of Dependency
-        Whose answers confirm the routes.
+        Dependencies whose answers confirm the route table.
     ended_count : prometheus_client.Counter
-        Connections that were ended early, by cause.
+        Number of connections that were closed early, by cause.
 
     Attributes
     ----------
     bodies : siskinthread.http_server.BodyBudget
-        Memory for bodies.
+        Memory budget for request bodies.
     draining : bool
-        Whether readiness fails, and each response is the last of its connection.
+        Whether readiness fails, and each connection is closed after its next response.
     closing : bool
         Whether connections are refused.
     """
@@ -82,17 +82,17 @@
         self._dependencies = dependencies
 
     def confirm_by(self, dependency):
-        """Let the answers of one more `Dependency` confirm the routes."""
+        """Add a `Dependency` whose answers confirm the route table."""
         self._dependencies.append(dependency)
 
     def table_age_s(self):
-        """Return the seconds since the routes were confirmed, or None."""
+        """Return the time since the table was confirmed, seconds; None if never."""
         ages_s = [one.age_s() for one in self._dependencies]
         known_s = [age_s for age_s in ages_s if age_s is not None]
         return round(min(known_s), 3) if known_s else None
 
     def is_table_fresh(self):
-        """Return whether the routes can be trusted to be the newest ones."""
+        """Return whether the route table was confirmed recently."""
         limit_s = self.settings.table_wait_s + self.settings.table_fresh_s
         for dependency in self._dependencies:
             age_s = dependency.age_s()
--- a/siskinthread/gateway/_control_home.py
+++ b/siskinthread/gateway/_control_home.py
@@ -1,31 +1,31 @@
-"""Which entries control which groups, as far as the gateway knows."""
+"""State of the gateway on which the assignment of controllers to groups depends."""
 
 import collections
 import hashlib
 
 
 class ControlHome:
-    """What the control of groups needs to know of this entry and of its peers.
+    """Interface between the gateway and the control of groups.
 
     Parameters
     ----------
     settings : GatewaySettings
-        How many entries of a failure domain control groups.
+        Number of entries of a failure domain that control groups.
     failure_domain : str
-        Where this entry runs.
+        Failure domain of this entry.
     progress : GroupProgress
-        Passes of groups, and which of them stand still.
+        Passes and stalls of groups.
     context : GatewayContext
         Whether this entry drains.
     slow_targets : SlowTargets
-        Told which targets should get no requests.
+        Receives the targets that should get no requests.
     outages : GroupOutages
-        Which groups are broken.
+        Knows which groups are broken.
 
     Attributes
     ----------
     peers : siskinthread.peer_news.PeerNews or None
-        Tells of other entries.
+        State of other entries.
     evacuated_domains : callable
         Returns the failure domains whose targets must get no requests, a frozenset.
     controlled : list of str
@@ -58,11 +58,11 @@
         self.evacuated_domains = frozenset
 
     def is_control_candidate(self):
-        """Return whether this entry should take a share of the control of groups.
+        """Return whether this entry should control a share of the groups.
 
-        A change of a map sends it to each rank, 2 MB in all for 96 ranks, so that the
-        entries with the fastest links go first; a few are enough.  One that drains
-        hands its shares over while it still can finish what it has begun.
+        A change of an expert map sends the map to each rank, 2 MB in all for 96 ranks,
+        so a few entries with the fastest links are preferred.  A draining entry hands
+        its shares over while it can still finish changes that it has begun.
         """
         if self._context.draining:
             return False
@@ -71,70 +71,71 @@
         return self.peers.is_among_first(self._settings.controllers_per_domain)
 
     def is_draining(self):
-        """Return whether this entry should hand its shares over now."""
+        """Return whether this entry should now hand its shares over."""
         return self._context.draining
 
     def is_heir_of(self, group):
-        """Return whether to control a group whose controller has fallen silent."""
+        """Return whether to take over a group whose controller has fallen silent."""
         if self.peers is None or not self.is_control_candidate():
             return False
         return self.peers.is_heir_of(group, self._settings.controllers_per_domain)
 
     def note_controlled(self, groups):
-        """Note which groups this entry controls, which peers are told."""
+        """Note which groups this entry controls, to be announced to peers."""
         self.controlled = sorted(groups)
 
     def is_home(self, group, rank_domains):
         """Return whether a group is controlled from this failure domain.
 
-        It is the one with most of its ranks, among those that have entries: callers'
-        requests go to their own domain first, so that the entries there see the passes
-        of the group, and orders do not leave the domain.  Whether these entries are
-        informed does not matter: in an outage of the store none is, and each domain
-        would take itself for the home of all groups.
+        The home of a group is the failure domain with most of its ranks, among those
+        that have entries.  Requests are preferably sent within their failure domain, so
+        that entries there observe the passes of the group, and orders do not leave the
+        failure domain.  It is irrelevant whether the sources answer these entries:
+        otherwise, in an outage of the store, each failure domain would consider itself
+        the home of all groups.
 
-        A group with all of its ranks in evacuated domains is controlled from none.  One
-        with ranks outside still gets requests there, and its map still matters.
+        A group all of whose ranks are in evacuated failure domains has no home.  A
+        group with ranks elsewhere still gets requests there, and needs its expert map.
         """
         if set(rank_domains) <= self.evacuated_domains():
             return False
-        heard = {self._failure_domain}
+        domains = {self._failure_domain}
         if self.peers is not None:
-            heard |= self.peers.heard_domains()
-        counts = collections.Counter(one for one in rank_domains if one in heard)
+            domains |= self.peers.heard_domains()
+        counts = collections.Counter(one for one in rank_domains if one in domains)
         if not counts:
-            return self._failure_domain == min(heard)
+            return self._failure_domain == min(domains)
         home = max(counts, key=lambda one: (counts[one], _tie_break(group, one)))
         return home == self._failure_domain
 
     def is_store_away(self):
-        """Return whether nobody who is heard of reaches the sources."""
+        """Return whether the sources answer no known peer."""
         return self.peers is None or not self.peers.informed_peers()
 
     def is_to_relieve(self, group):
-        """Return whether a group stands still, and this entry should see to it.
+        """Return whether a group is stalled, and this entry should release it.
 
-        One entry of each failure domain does, so that a standing group is not asked by
-        all of them.
+        Only one entry of each failure domain does so, to avoid that all of them query
+        a stalled group.
         """
         is_reader = self.reader_address() is None
-        # A broken group holds nothing, and is watched anyway.
+        # A broken group is not held for a map change, and is watched anyway.
         is_stalled = self._progress.is_stalled(group) and not self.is_broken(group)
         return is_reader and is_stalled
 
     def is_broken(self, group):
-        """Return whether a group is believed broken."""
+        """Return whether a group is considered broken."""
         return self._outages.is_broken(group)
 
     def refresh_outages(self):
-        """Look which groups are broken."""
+        """Update which groups are broken."""
         self._outages.refresh()
 
     def groups_to_watch(self, controlled):
-        """Return the broken groups whose ranks this entry should ask for reports.
+        """Return the broken groups whose ranks this entry should poll for reports.
 
-        One entry of each failure domain watches all of them, whether it reaches the
-        sources or not, and each controller its own.
+        One entry of each failure domain watches all broken groups, whether or not the
+        sources answer it; each controller also watches its own groups.
 
         Parameters
         ----------
@@ -147,7 +148,7 @@
         return [group for group in broken if group in controlled]
 
     async def tell_outages(self):
-        """Tell all entries at once of groups whose state this one has learnt."""
+        """Immediately send newly learnt states of groups to all entries."""
         urgent = self._outages.take_urgent()
         if urgent and self.peers is not None:
             await self.peers.tell_outages(urgent)
@@ -161,16 +162,16 @@
         self._slow_targets.note(group, instance_ids)
 
     def reader_address(self):
-        """Return the address of the entry that reads for this failure domain.
+        """Return the address of the reader of this failure domain.
 
         Returns
         -------
         siskinthread.settings.Address or None
-            None if it is this entry.
+            None if this entry is the reader.
         """
         return None if self.peers is None else self.peers.reader_address()
 
 
 def _tie_break(group, failure_domain):
-    """Return what orders failure domains for a group, for each group otherwise."""
+    """Return a sort key of a failure domain that is pseudo-random for each group."""
     return hashlib.blake2b(f"{group}/{failure_domain}".encode()).digest()
--- a/siskinthread/gateway/_departures.py
+++ b/siskinthread/gateway/_departures.py
@@ -1,10 +1,11 @@
-"""Which targets have announced that they leave."""
+"""Targets that have announced that they leave."""
 
 from collections import OrderedDict
 
 from siskinthread.peer_news import LeavingStatement
 
-# Targets that are remembered: all of a fleet of 600 that is replaced within minutes.
+# Number of targets that are remembered; enough for a fleet of 600 that is completely
+# replaced within minutes.
 REMEMBERED_LIMIT = 1024
 
 
@@ -14,14 +15,14 @@
     Parameters
     ----------
     settings : GatewaySettings
-        For how long peers are told.
+        How long departures are announced to peers.
     clock : siskinthread.timing.Clock
-        Clock of the ages.
+        Clock for ages.
 
     Notes
     -----
-    They are kept beside the list, since a late report, an older copy of the list or a
-    peer that has not heard of it must not bring a leaving target back.
+    Departures are stored separately from the target list, since a late report, an older
+    copy of the list or an uninformed peer must not reinstate a leaving target.
     """
 
     __slots__ = ("_clock", "_leaving", "_announced_at_s", "_settings")
@@ -29,9 +30,9 @@
     def __init__(self, settings, clock):
         self._settings = settings
         self._clock = clock
-        # Instance ids, the latest last.
+        # Instance ids, the most recent last.
         self._leaving = OrderedDict()
-        # When an answer of a target said that it leaves, monotonic seconds.
+        # When an answer of a target announced its departure, monotonic seconds.
         self._announced_at_s = {}
 
     def __contains__(self, instance_id):
@@ -47,14 +48,15 @@
             self._leaving.popitem(last=False)
 
     def note_announced(self, instance_id):
-        """Note that an answer of a target says so, which peers are told."""
+        """Note an announcement in an answer of a target, to be sent to peers."""
         if instance_id not in self._announced_at_s:
             self._announced_at_s[instance_id] = self._clock.monotonic_s()
 
     def take_new(self, statements):
-        """Take each `LeavingStatement` of a peer; return the ids of those that are new.
+        """Note each `LeavingStatement` of a peer; return the ids of new ones.
 
-        One that is told late is left out, or entries would tell one another for ever.
+        Old statements are ignored, or entries would repeat them to one another for
+        ever.
         """
         now_s = self._clock.monotonic_s()
         new = [
@@ -68,7 +70,7 @@
         return [one.instance_id for one in new]
 
     def statements(self):
-        """Return what peers should be told, a bounded number of `LeavingStatement`."""
+        """Return a bounded list of `LeavingStatement` to send to peers."""
         now_s = self._clock.monotonic_s()
         oldest_s = now_s - self._settings.leaving_told_s
         for instance_id, at_s in list(self._announced_at_s.items()):
--- a/siskinthread/gateway/_dependency.py
+++ b/siskinthread/gateway/_dependency.py
@@ -1,4 +1,4 @@
-"""Whether the services that this process depends on answer."""
+"""Availability of the services that this process depends on."""
 
 from siskinthread.observability import part_logger
 
@@ -6,21 +6,21 @@
 
 
 class Dependency:
-    """Whether a service that this process depends on answers.
+    """Availability of a service that this process depends on.
 
     Parameters
     ----------
     name : str
-        For the log.
+        Name of the service, for the log.
     clock : siskinthread.timing.Clock
-        Clock of the ages.
+        Clock for ages.
 
     Attributes
     ----------
     is_lost : bool
         Whether the last call failed.
     failure_count : int
-        Calls that have failed since the last answer.
+        Number of failed calls since the last answer.
     """
 
     __slots__ = (
@@ -41,7 +41,7 @@
         self.failure_count = 0
 
     def answered(self):
-        """Note an answer."""
+        """Note an answer to a call of this process."""
         now_s = self._clock.monotonic_s()
         self._answered_at_s = now_s
         self.failure_count = 0
@@ -54,13 +54,13 @@
             )
 
     def confirmed(self, age_s):
-        """Note that a peer got an answer some seconds ago, unless calls fail here."""
+        """Note that a peer got an answer `age_s` seconds ago, unless own calls fail."""
         answered_at_s = self._clock.monotonic_s() - age_s
         if not self.is_lost and answered_at_s > (self._answered_at_s or 0.0):
             self._answered_at_s = answered_at_s
 
     def failed(self, error):
-        """Note a call without an answer."""
+        """Note a failed call."""
         self.failure_count += 1
         if not self.is_lost:
             self.is_lost = True
@@ -68,22 +68,23 @@
             _logger.event("dependency lost", dependency=self.name, reason=str(error))
 
     def age_s(self):
-        """Return the seconds since the last answer, or None if there was none."""
+        """Return the time since the last answer, seconds; None if there was none."""
         if self._answered_at_s is None:
             return None
         return self._clock.monotonic_s() - self._answered_at_s
 
     def retry_wait_s(self, settings, is_first):
-        """Return how long to wait after a call that failed, seconds.
+        """Return the back-off after a failed call, seconds.
 
         Parameters
         ----------
         settings : GatewaySettings
-            First and longest wait.
+            First and longest back-off.
         is_first : bool
-            Whether this entry is the one of its failure domain that notices soon when
-            the service is back; the others learn it from its news.  Without that, 15
-            entries made 60 calls a second while the service was away, each paid for.
+            Whether this entry is the first of its failure domain, which retries at a
+            constant interval to notice the recovery of the service soon; it notifies
+            the others, which back off exponentially.  If all did the same, 15 entries
+            made 60 billed calls per second in an outage.
         """
         if is_first:
             return settings.source_retry_s
--- a/siskinthread/gateway/_domain_reachability.py
+++ b/siskinthread/gateway/_domain_reachability.py
@@ -1,4 +1,4 @@
-"""Which failure domains this entry can't reach."""
+"""Circuit breakers for failure domains that this entry can't reach."""
 
 from siskinthread.observability import part_logger
 from siskinthread.timing import Deadline
@@ -7,15 +7,16 @@
 
 
 class _Domain:
-    """What exchanges with the targets of one failure domain show."""
+    """Connect failures of the targets of one failure domain, and its breaker state."""
 
     __slots__ = ("check", "cut_off_at_s", "unreachable")
 
     def __init__(self):
-        # When targets could not be connected to, monotonic seconds, by instance id.
+        # Times of connect failures, monotonic seconds, by instance id.
         self.unreachable = {}
+        # When the breaker opened, monotonic seconds; None while it is closed.
         self.cut_off_at_s = None
-        # When targets should be connected to as a check; None if nothing is suspected.
+        # Deadline of the next check by connecting; None if no check is scheduled.
         self.check = None
 
 
@@ -25,15 +26,16 @@
     Parameters
     ----------
     settings : GatewaySettings
-        Counts and times.
+        Thresholds and intervals.
     clock : siskinthread.timing.Clock
-        Clock of the times.
+        Clock for the window and the checks.
 
     Notes
     -----
-    Targets behind a network partition have no requests, so that they look idle, and
-    each of them takes a time-out of every entry before it is passed over.  With 48
-    targets behind a partition a third of all requests waited 0.4 s or 0.8 s for that.
+    Targets behind a network partition have no requests, so that they appear idle, and
+    each of them costs every entry a connect time-out before it is ejected.  With 48
+    targets behind a partition, a third of all requests waited 0.4 s or 0.8 s for such
+    time-outs.
     """
 
     __slots__ = ("_clock", "_domains", "_settings")
@@ -44,14 +46,14 @@
         self._domains = {}
 
     def note_unreachable(self, entry, target_count):
-        """Note that a connection to a target failed.
+        """Note a failure to connect to a target.
 
         Parameters
         ----------
         entry : TargetEntry
             The target.
         target_count : int
-            Targets that its failure domain has.
+            Number of targets in its failure domain.
         """
         name = entry.failure_domain
         domain = self._domains.setdefault(name, _Domain())
@@ -71,12 +73,12 @@
             domain.check = Deadline.after(self._clock, 0.0)
 
     def note_reached(self, failure_domain):
-        """Note that a target of a failure domain answered or took a connection.
+        """Note that a target of a failure domain answered or accepted a connection.
 
         Returns
         -------
         bool
-            Whether the domain could not be reached before.
+            Whether the failure domain was unreachable before.
         """
         domain = self._domains.pop(failure_domain, None)
         if domain is None or domain.cut_off_at_s is None:
@@ -89,24 +91,24 @@
         return True
 
     def is_cut_off(self, failure_domain):
-        """Return whether no target of a failure domain can be reached."""
+        """Return whether a failure domain is considered unreachable."""
         domain = self._domains.get(failure_domain)
         return domain is not None and domain.cut_off_at_s is not None
 
     def within_reach(self, entries):
-        """Return those of some targets whose failure domains can be reached."""
+        """Return the targets in `entries` whose failure domains are reachable."""
         if not self._domains:
             return entries
         return [one for one in entries if not self.is_cut_off(one.failure_domain)]
 
     def cut_off_count(self):
-        """Return the number of failure domains that can't be reached."""
+        """Return the number of unreachable failure domains."""
         return sum(self.is_cut_off(name) for name in self._domains)
 
     def due_checks(self):
-        """Return how many targets to connect to now, by failure domain.
+        """Return the number of targets to connect to now, by failure domain.
 
-        The next check of each of these domains is put off by ``reachability_check_s``.
+        Schedules the next check of these domains after ``reachability_check_s``.
         """
         due = {}
         for name, domain in self._domains.items():
@@ -119,7 +121,7 @@
         return due
 
     def next_check_s(self):
-        """Return the time until a check is due, seconds; None if none will be."""
+        """Return the time until the next check, seconds; None if none is scheduled."""
         waits_s = [
             domain.check.left_s()
             for domain in self._domains.values()
--- a/siskinthread/gateway/_evacuations.py
+++ b/siskinthread/gateway/_evacuations.py
@@ -1,31 +1,32 @@
-"""Which failure domains are evacuated, so that their targets get no requests.
+"""Evacuated failure domains, whose targets get no requests.
 
-The operator's records in one log say so.  The set of evacuated domains is a function of
-the log up to a position, so that of two hosts the one with the higher position knows
-better, whoever has told it.
+Operators evacuate failure domains by records in a log.  The set of evacuated failure
+domains is a function of the log up to a position, so that of two statements the one
+with the higher position is newer, whatever its sender.
 """
 
 from siskinthread.observability import part_logger
 from siskinthread.peer_news import EvacuationStatement
 
-# How long it is known when a domain was taken back; longer than targets are cold.
+# How long the end of an evacuation is remembered; longer than targets are cold.
 TAKEN_BACK_MEMORY_S = 600.0
-# Characters of domain names that a datagram of 8 KB carries; a part of them would be
-# another state.  Names have some ten characters.
+# Maximum total length of domain names in a datagram of 8 KB, characters; beyond it
+# nothing is sent, since an incomplete set would be a different state.  Names have about
+# ten characters.
 TOLD_LIMIT = 1024
 
 _logger = part_logger("gateway")
 
 
 class Evacuations:
-    """The failure domains that are evacuated.
+    """Set of evacuated failure domains.
 
     Parameters
     ----------
     settings : GatewaySettings
         How long a domain stays evacuated that a restored source does not list.
     clock : siskinthread.timing.Clock
-        Clock of the times.
+        Clock for ages.
     """
 
     __slots__ = (
@@ -46,39 +47,42 @@
         self._settings = settings
         self._clock = clock
         self._position = None
-        # As the source lists them at the position.
+        # Domains that the source lists at the position.
         self._listed = frozenset()
-        # Those that a restored source does not list, monotonic seconds.
+        # Domains that stay evacuated although a restored source does not list them,
+        # and since when, monotonic seconds.
         self._kept_since_s = {}
-        # The two together.
+        # The union of both.
         self._domains = frozenset()
-        # Taken back in the era of the position; these are not kept any more.
+        # When evacuations ended in the era of the position, monotonic seconds; these
+        # domains are not kept.
         self._released_at_s = {}
+        # When evacuations ended in any era, monotonic seconds.
         self._taken_back_at_s = {}
         self._listeners = []
         self._logged_empty = set()
         self._is_too_long = False
 
     def listen(self, callback):
-        """Call a function with each domain that changes.
+        """Register a callback for changes.
 
-        It gets the domain and whether it is evacuated now.
+        Its arguments are the domain and whether it is now evacuated.
         """
         self._listeners.append(callback)
 
     def advance(self, position, domains, told_by, taken_back=()):
-        """Take what this process has read of the source itself.
+        """Apply what this process has read from the source.
 
         Parameters
         ----------
         position : siskinthread.source_eras.Position
-            Up to where it has read.
+            Position up to which the source was read.
         domains : iterable of str
-            Domains that are listed as evacuated there.
+            Domains that are evacuated at the position.
         told_by : str
-            The source, for the log.
+            Name of the source, for the log.
         taken_back : iterable of str
-            Domains whose records were dropped since the last read.
+            Domains whose records were removed since the last read.
         """
         self._apply(position, frozenset(domains), told_by, is_own=True)
         if position.era == self._position.era:
@@ -86,16 +90,16 @@
             self._release(dict.fromkeys(taken_back, now_s), told_by)
 
     def hear(self, statement, told_by, is_reader=False):
-        """Take the `EvacuationStatement` of a peer, or None.
+        """Process the `EvacuationStatement` of a peer.
 
         Parameters
         ----------
         statement : siskinthread.peer_news.EvacuationStatement or None
-            What the peer tells.
+            The statement; None is ignored.
         told_by : str
             The peer, for the log.
         is_reader : bool
-            Whether it is a reader that this host relies on, and is ahead of it.
+            Whether the peer is a reader that this host relies on, ahead of this host.
         """
         if statement is None:
             return
@@ -129,7 +133,10 @@
         return len(self.domains())
 
     def taken_back_s_ago(self, domain):
-        """Return the seconds since a domain was taken back; None if not lately."""
+        """Return the time since the end of an evacuation, seconds.
+
+        None if the domain is evacuated, or no end of an evacuation is remembered.
+        """
         at_s = self._taken_back_at_s.get(domain)
         if at_s is None or self.is_evacuated(domain):
             return None
@@ -137,7 +144,7 @@
         return ago_s if ago_s < TAKEN_BACK_MEMORY_S else None
 
     def statement(self):
-        """Return what peers should be told, an `EvacuationStatement` or None."""
+        """Return the `EvacuationStatement` to send to peers, or None."""
         if self._position is None:
             return None
         self.domains()
@@ -151,19 +158,19 @@
         names = [*self._listed, *kept_s, *released_s]
         is_too_long = sum(map(len, names)) > TOLD_LIMIT
         if is_too_long and not self._is_too_long:
-            _logger.event("evacuations are too many to be told", count=len(names))
+            _logger.event("too many evacuations to send to peers", count=len(names))
         self._is_too_long = is_too_long
         if is_too_long:
             return None
         return EvacuationStatement(self._position, self._listed, kept_s, released_s)
 
     def note_target_domains(self, target_domains):
-        """Log each evacuated domain that has no target, once.
+        """Log each evacuated domain without a target, once.
 
         Parameters
         ----------
         target_domains : set of str
-            Domains of all targets that are listed.
+            Domains of all listed targets.
         """
         empty = set(self.domains() - target_domains)
         for domain in sorted(empty - self._logged_empty):
@@ -197,11 +204,12 @@
         self._update_domains(told_by)
 
     def _is_newer(self, position, is_own):
-        """Return whether a position is of a later state than the one that is known.
+        """Return whether a position is newer than the present one.
 
-        A source that tells no era may have gone back without a sign.  Then the own
-        reads count, that of a reader which this host relies on like them, and another
-        peer's only before the first of them.
+        A source that states no era may have been restored to an older state without
+        notice.  Then any own read counts as newer, and so does that of a reader which
+        this host relies on; a statement of another peer counts only before the first
+        of them.
         """
         known = self._position
         if known is None:
@@ -211,7 +219,7 @@
         return known.era is None or known.is_behind(position)
 
     def _release(self, at_s_by_domain, told_by):
-        """Note domains that were taken back in the present era."""
+        """Note domains whose evacuation ended in the present era."""
         for domain, at_s in at_s_by_domain.items():
             if domain in self._listed or domain in self._released_at_s:
                 continue
@@ -221,7 +229,7 @@
         self._update_domains(told_by)
 
     def _keep(self, domain, since_s):
-        """Keep a domain that a peer keeps evacuated over a restore."""
+        """Keep a domain evacuated that a peer keeps over a restore of the source."""
         is_over = (
             self._clock.monotonic_s() - since_s >= self._settings.evacuation_kept_s
         )
@@ -236,7 +244,7 @@
             self._release(dict.fromkeys(expired, now_s), "the end of its keeping")
 
     def _update_domains(self, told_by):
-        """Note what has changed, and tell those who listen."""
+        """Update the set of evacuated domains, and notify listeners of changes."""
         before = self._domains
         self._domains = self._listed.union(self._kept_since_s)
         for domain in sorted(self._domains - before):
--- a/siskinthread/gateway/_group_outages.py
+++ b/siskinthread/gateway/_group_outages.py
@@ -1,8 +1,8 @@
-"""Which groups of targets are broken, from what shows it to what ends it.
+"""Outages of groups of targets.
 
-When a rank of a group dies or is cut off, all ranks stall and then decline each request
-until the group has re-formed.  Nobody announces that, so that hosts go by declines,
-reports of ranks, answers and each other's word.
+When a rank of a group dies or is partitioned, all ranks stall and then decline each
+request until the group has re-formed.  The outage is not announced, so hosts infer it
+from declines, reports of ranks, answers and statements of peers.
 """
 
 import math
@@ -12,21 +12,21 @@
 from siskinthread.peer_news import GroupOutageStatement
 from siskinthread.timing import Deadline
 
-# Groups that are remembered; names come from peers too.
+# Maximum number of remembered groups; bounds the memory, as peers also send names.
 GROUPS_LIMIT = 256
-# How often peers are told at once; one of two datagrams may be lost.
+# Number of immediate datagrams to peers per change; one of two may be lost.
 URGENT_COUNT = 2
 
 _logger = part_logger("gateway")
 
 
 class Outage:
-    """That no group of a service is usable.
+    """Period in which no group of a service is usable.
 
     Parameters
     ----------
     began_at_s : float
-        Since when, monotonic seconds.
+        When the outage began, monotonic seconds.
     """
 
     __slots__ = ("began_at_s",)
@@ -36,20 +36,20 @@
 
 
 class GroupOutages:
-    """Knows broken groups, and tells when they open.
+    """Tracks broken groups, and notifies listeners when they open.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Times.
+        Intervals and time-outs.
     clock : siskinthread.timing.Clock
-        Clock of the times.
+        Clock for ages and deadlines.
     targets : TargetList
         The targets; those of a group are its ranks.
     health : TargetHealth
-        Failures of ranks, which are forgotten as their group opens.
+        Failures of ranks, which are forgotten when their group opens.
     progress : GroupProgress
-        Which groups stand still.
+        Knows which groups are stalled.
     metrics : siskinthread.observability.Metrics
         The registry.
 
@@ -60,8 +60,8 @@
 
     Notes
     -----
-    A group that stands still counts as broken only if some rank of it fails besides.  A
-    map change holds a group too, and ends within milliseconds.
+    A stalled group counts as broken only if requests to one of its ranks fail as well.
+    A change of its expert map also stalls a group, but only for some milliseconds.
     """
 
     __slots__ = (
@@ -86,11 +86,11 @@
         self._health = health
         self._progress = progress
         self._states = {}
-        # Since when groups stand still, monotonic seconds.
+        # Start of the stall by group, monotonic seconds.
         self._stalls = {}
-        # Until when a request that tests a broken group bars another one.
+        # Deadlines, by group, until which a test request prevents another one.
         self._tests = {}
-        # How many more times peers should be told at once, by group.
+        # Number of immediate datagrams still to be sent to peers, by group.
         self._urgent = {}
         self._listeners = []
         self.group_of = _no_group
@@ -103,20 +103,20 @@
         )
 
     def listen(self, callback):
-        """Call `callback` with the name of a group that opens or moves again."""
+        """Register a callback for the name of each group that becomes usable again."""
         self._listeners.append(callback)
 
     def is_broken(self, group):
-        """Return whether a group is believed broken."""
+        """Return whether a group is considered broken."""
         state = self._states.get(group)
         return state is not None and state.is_broken
 
     def broken_groups(self):
-        """Return the groups that are believed broken."""
+        """Return the groups that are considered broken."""
         return [group for group, one in self._states.items() if one.is_broken]
 
     def began_s_ago(self, group):
-        """Return the seconds since a group broke, None if it is not broken."""
+        """Return the time since a group broke, seconds; None if it is not broken."""
         if not self.is_broken(group):
             return None
         return self._clock.monotonic_s() - self._states[group].began_at_s
@@ -131,7 +131,7 @@
         return None if None in begins_s else Outage(max(begins_s))
 
     def is_reported(self, group):
-        """Return whether a report said lately that a group is broken."""
+        """Return whether a recent report states that a group is broken."""
         state = self._states.get(group)
         if state is None or not state.is_broken:
             return False
@@ -139,38 +139,38 @@
         return age_s < self._settings.outage_reported_s
 
     def may_test(self, group):
-        """Return whether a group may get a request for want of any other."""
+        """Return whether a group may get a request if no other group is usable."""
         if not self.is_broken(group):
             return True
         test = self._tests.get(group)
         return not self.is_reported(group) and (test is None or test.passed())
 
     def is_test_due(self, group):
-        """Return whether a broken group should get a request although others serve."""
+        """Return whether a test request is due although other groups are usable."""
         seen_s_ago = self._clock.monotonic_s() - self._states[group].seen_at_s
         is_old = seen_s_ago >= self._settings.group_ejection_s
         return is_old and self.may_test(group)
 
     def note_sent(self, group):
-        """Note that a request is sent to a group; it tests one that is broken."""
+        """Note that a request is sent to a group; if it is broken, as a test."""
         if self.is_broken(group):
             wait_s = self._settings.outage_test_limit_s
             self._tests[group] = Deadline.after(self._clock, wait_s)
 
     def note_ended(self, group):
-        """Note that a request to a group is over."""
+        """Note that a request to a group has ended."""
         self._tests.pop(group, None)
 
     def note_declined(self, group, sent_at_s=math.inf):
-        """Note that a rank of a group declined because another one failed.
+        """Note that a rank of a group declined a request because another rank failed.
 
         Parameters
         ----------
         group : str or None
-            The group.
+            The group; None is ignored.
         sent_at_s : float
-            When the request was sent, monotonic seconds.  One that was under way when
-            the group opened says nothing of it now.
+            When the request was sent, monotonic seconds.  The decline of a request that
+            was sent before the group opened is ignored.
         """
         if group is None:
             return
@@ -183,7 +183,7 @@
         state.seen_at_s = self._clock.monotonic_s()
 
     def note_served(self, group, sent_at_s=math.inf):
-        """Note that a rank of a group has answered a request sent at some moment."""
+        """Note that a rank of a group has answered a request sent at `sent_at_s`."""
         if not self.is_broken(group):
             return
         state = self._states[group]
@@ -198,21 +198,21 @@
         group : str
             The group.
         epoch : int or None
-            The epoch that it is in, if known.
+            Present epoch of the group, if known.
         told_by : str
-            What said so, for the log.
+            Origin of the evidence, for the log.
         """
         self._open(group, epoch, told_by, self._clock.monotonic_s())
 
     def note_report(self, report, observed_at_s):
-        """Take what a rank reports of its group.
+        """Process a rank's report of the state of its group.
 
         Parameters
         ----------
         report : siskinthread.group_maps.RankReport
             The report.
         observed_at_s : float
-            When the group was as it says, monotonic seconds: the time of the question
+            Time to which the report applies, monotonic seconds: the time of the query
             less the lag of reports.
         """
         group = report.group_name
@@ -224,11 +224,11 @@
         elif state.is_ended_by_report(report.epoch, observed_at_s):
             self._open(group, report.epoch, "a report", observed_at_s)
         elif state.epoch is None:
-            # It was open in this epoch just before it broke.
+            # The group was open in this epoch just before it broke.
             state.epoch = report.epoch
 
     def hear(self, statements, told_by):
-        """Take each `GroupOutageStatement` of a peer."""
+        """Process each `GroupOutageStatement` of a peer."""
         for statement in statements:
             seen_at_s = self._clock.monotonic_s() - statement.age_s
             if statement.is_open:
@@ -237,7 +237,7 @@
                 self._note_peer_broken(statement, seen_at_s, told_by)
 
     def statements(self):
-        """Return what peers should be told, a list of `GroupOutageStatement`."""
+        """Return the list of `GroupOutageStatement` to send to peers."""
         oldest_s = self._clock.monotonic_s() - self._settings.outage_told_s
         own = [
             (group, state)
@@ -248,13 +248,13 @@
         return [self._statement(group, state) for group, state in own]
 
     def take_urgent(self):
-        """Return the statements that all peers should get now."""
+        """Return the statements to be sent to all peers immediately."""
         urgent = self._urgent
         self._urgent = {one: left - 1 for one, left in urgent.items() if left > 1}
         return [one for one in self.statements() if one.group_name in urgent]
 
     def refresh(self):
-        """Look which groups stand still, and forget outages that nobody tells of."""
+        """Update which groups are stalled, and forget outages without new evidence."""
         ranks = self._ranks_by_group()
         for group, ids in ranks.items():
             if self._progress.is_stalled(group):
@@ -360,7 +360,7 @@
         self._notify(group)
 
     def _forget_failures(self, group, began_at_s):
-        """Trust the ranks of a group that has opened as before its outage."""
+        """Forget failures of the ranks of an opened group that the outage caused."""
         since_s = began_at_s - self._settings.outage_lead_s
         for instance_id in self._ranks_by_group().get(group, ()):
             self._health.forget_since(instance_id, since_s)
@@ -382,7 +382,7 @@
             state.seen_at_s = now_s
 
     def _note_moving(self, group):
-        """Note that a group does not stand still any more."""
+        """Note that a group is no longer stalled."""
         if not self.is_broken(group):
             del self._stalls[group]
             self._notify(group)
@@ -402,7 +402,8 @@
         now_s = self._clock.monotonic_s()
         mark = 0
         if state.is_broken and state.reported_at_s > 0:
-            # Told anew before what peers know is too old to count.
+            # Changes twice within the validity of a report, so that peers receive the
+            # statement again before their knowledge expires.
             mark = int(2 * state.reported_at_s / self._settings.outage_reported_s)
         return GroupOutageStatement(
             group,
--- a/siskinthread/gateway/_group_progress.py
+++ b/siskinthread/gateway/_group_progress.py
@@ -1,9 +1,9 @@
-"""Which groups of targets make no progress.
+"""Detection of stalled groups of targets.
 
 The ranks of a group run in lock-step, so each pass gives every stream of the group one
-event.  When none of this entry's streams there gets any, the group stands still: a rank
-is dead or cut off, or the group is held for a change of its map whose controller has
-been stopped.
+event.  If none of this entry's streams of a group gets an event, the group is stalled:
+a rank is dead or partitioned, or the group is held for a change of its expert map whose
+controller has been stopped.
 """
 
 from siskinthread.group_maps import PassClock, PassView, ToldPass
@@ -14,25 +14,25 @@
 
 
 class GroupProgress:
-    """When own streams of each group last got an event.
+    """Tracks when the own streams of each group last got an event.
 
     Parameters
     ----------
     settings : GatewaySettings
-        How long a group may be silent.
+        How long the streams of a group may be silent.
     clock : siskinthread.timing.Clock
-        Clock of the times.
+        Clock for ages and deadlines.
 
     Attributes
     ----------
     peers : siskinthread.peer_news.PeerNews or None
-        Tells which groups stand still as peers see them.
+        States which groups are stalled as observed by peers.
 
     Notes
     -----
-    Symptom without this: an entry that was stopped for 4 s held a group; 40 requests
-    were sent there and left by their callers after 2 s, though the other group had free
-    slots.
+    Without stall detection, when an entry was stopped for 4 s while it held a group, 40
+    requests were sent to that group and abandoned by their callers after 2 s, although
+    another group had free slots.
     """
 
     __slots__ = (
@@ -49,19 +49,19 @@
     def __init__(self, settings, clock):
         self._settings = settings
         self._clock = clock
-        # Targets of the streams that have begun, by group; one of them may be there
-        # more than once.
+        # Targets of the streams that have begun, by group; a target is listed once for
+        # each of its streams.
         self._streams = {}
         self._last_event_s = {}
         self._pass_clocks = {}
-        # Until when a group counts that stood still when it was last looked at.  Its
-        # streams may have been left by their callers since.
+        # Deadlines until which a group counts as stalled after the last check that
+        # found it so.  Callers may have abandoned its streams since.
         self._stalled = {}
         self._listeners = []
         self.peers = None
 
     def listen(self, callback):
-        """Call `callback` with the group of each stream that gets its first event."""
+        """Register a callback for the group of each stream at its first event."""
         self._listeners.append(callback)
 
     def event_came(self, group):
@@ -79,13 +79,13 @@
         return self._pass_clocks.setdefault(group, PassClock())
 
     def pass_view(self, group):
-        """Return the `PassView` of a group, by own streams or as peers tell."""
+        """Return the `PassView` of a group, from own streams or from peers."""
         return PassView(self.pass_clock(group), lambda: self._newest_peer_pass(group))
 
     def passes_s(self):
         """Return the time of the last pass of each group with own streams, seconds.
 
-        Coarse, so that news are not sent for a change that means nothing.
+        Rounded to 0.01 s, so that insignificant changes are not sent to peers.
         """
         now_s = self._clock.monotonic_s()
         running = {
@@ -96,17 +96,17 @@
         return {group: round(pass_s, 2) for group, pass_s in running.items()}
 
     def stream_began(self, group, instance_id):
-        """Note that a stream has got its first event."""
+        """Note that a stream got its first event."""
         self._streams.setdefault(group, []).append(instance_id)
         self.event_came(group)
         for callback in self._listeners:
             callback(group)
 
     def stream_ended(self, group, instance_id):
-        """Note that a stream that had begun is over."""
+        """Note that a stream that had begun has ended."""
         streams = self._streams.get(group, [])
         if instance_id not in streams:
-            # It began before its group broke and opened again.
+            # The stream began before its group broke and re-formed.
             return
         streams.remove(instance_id)
         if not streams:
@@ -118,13 +118,14 @@
         if self._streams.pop(group, None) is not None:
             self.pass_clock(group).stop()
         self._stalled.pop(group, None)
-        # Peers may still tell that it stands still.
+        # Counts as an event, since peers may still state that the group is stalled.
         self._last_event_s[group] = self._clock.monotonic_s()
 
     def stalled_groups(self):
-        """Return the groups that stand still, as own streams show."""
+        """Return the groups that are stalled according to own streams."""
         for group, targets in self._streams.items():
-            # One silent target may be cut off from this entry alone; it takes two.
+            # Requires two silent targets, as a single one may be partitioned from this
+            # entry alone.
             if len(set(targets)) > 1 and not self._is_moving(group):
                 self._note_stalled(group, len(targets))
         return sorted(
@@ -132,7 +133,7 @@
         )
 
     def is_stalled(self, group):
-        """Return whether a group stands still, by own streams or as peers see it."""
+        """Return whether a group is stalled, by own streams or according to peers."""
         if group is None or self._is_moving(group):
             return False
         if group in self.stalled_groups():
@@ -140,8 +141,8 @@
         return self.peers is not None and group in self.peers.stalled_groups()
 
     def _newest_peer_pass(self, group):
-        told = None if self.peers is None else self.peers.newest_pass(group)
-        return None if told is None else ToldPass(*told)
+        newest = None if self.peers is None else self.peers.newest_pass(group)
+        return None if newest is None else ToldPass(*newest)
 
     def _note_stalled(self, group, stream_count):
         if group not in self._stalled:
--- a/siskinthread/gateway/_group_state.py
+++ b/siskinthread/gateway/_group_state.py
@@ -1,40 +1,41 @@
-"""What is believed of one group, and which evidence changes it."""
+"""Assumed state of one group, and rules by which evidence changes it."""
 
 import math
 
 
 class GroupState:
-    """Whether one group is broken, and how that is known.
+    """Whether one group is broken, and the evidence for it.
 
     Parameters
     ----------
     memory_s : float
-        How long word from before a change may still be under way, seconds.
+        Longest delay of a message that was sent before a change of the state, seconds.
 
     Attributes
     ----------
     is_broken : bool
-        Whether the group is believed broken.
+        Whether the group is considered broken.
     epoch : int or None
-        Last known epoch; of a broken group only as some report of this outage stated
-        it.
+        Last known epoch; for a broken group, only an epoch that a report of this outage
+        has stated.
     began_at_s : float or None
         When the outage began, monotonic seconds.
     seen_at_s : float
-        When the newest evidence of the state was seen at a rank, monotonic seconds.
+        When the newest evidence of the state was observed at a rank, monotonic seconds.
     learnt_at_s : float
-        When the last change of the state was learnt here, monotonic seconds.
+        When this host learnt of the last change of the state, monotonic seconds.
     reported_at_s : float
-        When a report last said that the group is broken, monotonic seconds.
+        When a report last stated that the group is broken, monotonic seconds.
     is_own : bool
-        Whether this host has learnt the state itself.
+        Whether this host has observed the state itself.
     is_suspected : bool
-        Whether a stall together with a failed rank is the only evidence.
+        Whether the only evidence is a stall together with a failed rank.
 
     Notes
     -----
-    A group opens in a higher epoch than it broke in, so that epochs order what comes in
-    whatever order.  Times decide only within one epoch, or where one is not known.
+    A group opens in a higher epoch than the one in which it broke, so that messages
+    that arrive out of order are ordered by their epochs.  Times decide only within one
+    epoch, or if an epoch is unknown.
     """
 
     __slots__ = (
@@ -52,7 +53,7 @@
 
     def __init__(self, memory_s):
         self._memory_s = memory_s
-        # When an epoch of the open group was first heard of here.
+        # When this host learnt of the epoch of the open group, monotonic seconds.
         self._epoch_at_s = -math.inf
         self.is_broken = False
         self.epoch = None
@@ -74,7 +75,7 @@
         self.epoch = epoch
 
     def note_open(self, epoch, seen_at_s, now_s):
-        """Note that the group is open; return whether it was believed broken."""
+        """Note that the group is open; return whether it was considered broken."""
         was_broken, self.is_broken = self.is_broken, False
         self.is_suspected = False
         self.seen_at_s = max(self.seen_at_s, seen_at_s)
@@ -85,10 +86,10 @@
         return was_broken
 
     def note_epoch(self, epoch, now_s):
-        """Note the epoch of an open group, None if it was not told."""
+        """Note the epoch of an open group, None if it was not stated."""
         if epoch is None or epoch == self.epoch:
             return
-        # Epochs begin anew when all ranks have started anew.
+        # Epochs restart at their first value after a restart of all ranks.
         if self._may_be_late(now_s) and epoch < (self.epoch or 0):
             return
         self.epoch = epoch
@@ -98,11 +99,11 @@
         """Return whether a rank's report that the group is open ends its outage."""
         if self.epoch is not None and epoch > self.epoch:
             return True
-        # The reports of a group that stalls say that it is open until it breaks.
+        # Reports of a stalled group state that it is open until it breaks.
         return seen_at_s > self.seen_at_s and not self.is_suspected
 
     def is_ended_by_peer(self, epoch, seen_at_s):
-        """Return whether a peer's word that the group is open ends its outage."""
+        """Return whether a peer's statement that the group is open ends its outage."""
         if epoch is None or self.epoch in (None, epoch):
             return seen_at_s > self.seen_at_s
         return epoch > self.epoch
@@ -112,16 +113,17 @@
         if self.is_suspected:
             return True
         is_earlier = self.epoch is not None and epoch < self.epoch
-        # One of an earlier epoch counts only if all ranks have started anew since.
+        # A lower epoch is valid only after a restart of all ranks, so the report must
+        # be newer than the last change that was learnt.
         return seen_at_s > (self.learnt_at_s if is_earlier else self.seen_at_s)
 
     def is_begun_by_peer(self, epoch, seen_at_s, now_s):
-        """Return whether a peer's word that the group is broken begins an outage."""
+        """Return whether a peer's statement that the group is broken begins one."""
         is_ordered = epoch is not None and self.epoch not in (None, epoch)
         if is_ordered and self._may_be_late(now_s):
             return epoch > self.epoch
         return seen_at_s > self.seen_at_s
 
     def _may_be_late(self, now_s):
-        """Return whether word from before the last change may still be under way."""
+        """Return whether messages from before the last change may still arrive."""
         return now_s - max(self.learnt_at_s, self._epoch_at_s) < self._memory_s
--- a/siskinthread/gateway/_host_share.py
+++ b/siskinthread/gateway/_host_share.py
@@ -1,17 +1,17 @@
-"""The part of a service's slots that is this host's."""
+"""This host's share of the slots of a service."""
 
 
 class HostShare:
-    """Slots of a service by the number of hosts that send to them.
+    """Slots of a service, divided by the number of hosts that send requests.
 
     Parameters
     ----------
     settings : GatewaySettings
-        The load from which on requests are refused.
+        Load at which requests are refused.
     targets : TargetList
         The targets.
     loads : TargetLoads
-        Their requests, and the peers.
+        Requests at the targets, and the peers.
     """
 
     __slots__ = ("_loads", "_settings", "_targets")
@@ -22,19 +22,19 @@
         self._loads = loads
 
     def rate_per_s(self, service_name, usual_s):
-        """Return the requests a second that this host can send on when all is full.
+        """Return the rate of requests that this host can forward at full load, per s.
 
         Parameters
         ----------
         service_name : str
             The service.
         usual_s : float
-            How long a request takes, seconds.
+            Usual duration of a request, seconds.
         """
         return self._usable_count(service_name) / self._host_count() / usual_s
 
     def free_count(self, service_name):
-        """Return how many of the free slots of a service are this host's share."""
+        """Return this host's share of the free slots of a service."""
         full_load = self._settings.full_load
         free_count = sum(
             max(0.0, one.slot_count * full_load - self._loads.total(one.instance_id))
@@ -43,7 +43,7 @@
         return free_count / self._host_count()
 
     def ending_per_s(self, service_name, usual_s):
-        """Return how many slots of this host's share come free in a second."""
+        """Return the rate at which slots of this host's share are freed, per second."""
         used_count = sum(
             min(one.slot_count, self._loads.total(one.instance_id))
             for one in self._targets.serving(service_name)
@@ -51,7 +51,7 @@
         return used_count / self._host_count() / usual_s
 
     def slot_count(self, service_name):
-        """Return the slots of all targets of a service."""
+        """Return the number of slots of all targets of a service."""
         return sum(one.slot_count for one in self._targets.serving(service_name))
 
     def _usable_count(self, service_name):
--- a/siskinthread/gateway/_inferred_outages.py
+++ b/siskinthread/gateway/_inferred_outages.py
@@ -1,6 +1,7 @@
-"""Outages of whole services, as failed requests and silent streams show them.
+"""Outages of whole services, inferred from failed requests and silent streams.
 
-It is what a host goes by where no report of a group tells whether it is open.
+Used for services whose targets are not ranks of groups, so that there are no reports of
+groups.
 """
 
 from siskinthread.load_control import OutageLengths
@@ -10,12 +11,12 @@
 
 
 class Outage:
-    """A time in which no target of a service is usable.
+    """Period in which no target of a service is usable.
 
     Parameters
     ----------
     began_at_s : float
-        When it was first seen, monotonic seconds.
+        When the outage was first observed, monotonic seconds.
     """
 
     __slots__ = ("began_at_s", "seen_at_s")
@@ -26,19 +27,25 @@
 
 
 class InferredOutages:
-    """Which services have no target that is trusted.
+    """Services all of whose targets are ejected.
 
     Parameters
     ----------
     settings : WaitingSettings
-        How long an outage counts that nothing shows any more.
+        Time after which an outage without new evidence is forgotten.
     clock : siskinthread.timing.Clock
-        Clock of the outages.
+        Clock for outages.
+
+    Attributes
+    ----------
+    lengths : siskinthread.load_control.OutageLengths
+        Lengths of earlier outages, by service.
 
     Notes
     -----
-    Failing targets are passed over for a time and then trusted again without a sign
-    that they serve.  So an outage ends with an answer or an event, not with the trust.
+    The ejection of a failing target ends after a time, without evidence that the target
+    serves again.  So an outage ends with an answer or an event, not with the end of an
+    ejection.
     """
 
     __slots__ = ("_clock", "_listeners", "_outages", "_settings", "lengths")
@@ -51,11 +58,11 @@
         self.lengths = OutageLengths(settings, clock)
 
     def listen(self, callback):
-        """Call `callback` with the name of each service that is usable again."""
+        """Register a callback for the name of each service that is usable again."""
         self._listeners.append(callback)
 
     def note_all_ejected(self, service_name):
-        """Note that no target of a service is trusted at this moment."""
+        """Note that all targets of a service are ejected at this moment."""
         now_s = self._clock.monotonic_s()
         outage = self.service_outage(service_name)
         if outage is not None:
--- a/siskinthread/gateway/_kept_targets.py
+++ b/siskinthread/gateway/_kept_targets.py
@@ -1,20 +1,22 @@
-"""Targets that have vanished from the list around an outage of its source.
+"""Targets whose entries have expired around an outage of the source of the list.
 
-While the source is away, entries lapse although the targets live.  Taken at its word
-on its return it would empty every service at once; one would notice refusals for want
-of a target until the targets have reported again.  So entries that vanish then are kept
-until a deadline, and the evidence behind them stays that of before the outage.
+While the source is unavailable, entries expire although their targets still run.  The
+list that it returns afterwards may be empty; if it were applied, requests would be
+refused for want of a target until all targets have reported again.  So entries that
+vanish at that time are kept until a deadline; the last evidence that their targets run
+remains that from before the outage.
 """
 
 from siskinthread.timing import Deadline
 
-# By how many times its length an outage prolongs the time of a target that was kept
-# before it began.  Long ones restore the whole time; single failed calls don't.
+# Ratio between the extension of the deadline of a target that was kept before an outage
+# began, and the length of the outage.  A long outage restores the whole grace period; a
+# single failed call does not.
 OUTAGE_CREDIT = 2
 
 
 class _Kept:
-    """Until when a target is kept, and whether outages of the source prolong that."""
+    """Deadline of a kept target, and whether outages of the source extend it."""
 
     __slots__ = ("is_prolonged", "until")
 
@@ -24,14 +26,14 @@
 
 
 class KeptTargets:
-    """Targets that are kept for a while after they vanished.
+    """Targets that are kept for a grace period after they vanished from the list.
 
     Parameters
     ----------
     settings : GatewaySettings
-        For how long.
+        Grace period and its limits.
     clock : siskinthread.timing.Clock
-        Clock of the deadlines.
+        Clock for deadlines.
     """
 
     __slots__ = (
@@ -47,9 +49,9 @@
         self._settings = settings
         self._clock = clock
         self._grace = Deadline.after(clock, 0.0)
-        # When the outage was noticed, monotonic seconds; None while there is none.
+        # When the present outage was noticed, monotonic seconds; None if there is none.
         self._lost_at_s = None
-        # When the last call of it began; the source may have been back from then on.
+        # When the last failed call began; the source may have recovered since then.
         self._failed_call_at_s = None
         self._kept = {}
 
@@ -57,17 +59,17 @@
         return instance_id in self._kept
 
     def ids(self):
-        """Return the ids of all that are kept."""
+        """Return the instance ids of all kept targets."""
         return list(self._kept)
 
     def note_failed_call(self, began_at_s):
-        """Note that the source has not answered a call."""
+        """Note a call that the source did not answer."""
         if self._lost_at_s is None:
             self._lost_at_s = self._clock.monotonic_s()
         self._failed_call_at_s = began_at_s
 
     def note_outage_end(self):
-        """Note an outage that ends at this moment, also of what the source lists."""
+        """Note the end of an outage of the source, or of the contents of its list."""
         now_s = self._clock.monotonic_s()
         self._grace = Deadline(self._clock, now_s + self._grace_s(now_s))
         if self._lost_at_s is not None:
@@ -79,18 +81,18 @@
         self._lost_at_s = self._failed_call_at_s = None
 
     def covers(self):
-        """Return whether a target that vanishes now is kept."""
+        """Return whether a target that vanishes now is to be kept."""
         return self._lost_at_s is not None or not self._grace.passed()
 
     def keep(self, instance_id):
-        """Keep a target that has vanished."""
+        """Keep a target that has vanished from the list."""
         until = self._grace
         if self._lost_at_s is not None:
             until = Deadline.after(self._clock, self._settings.lapse_grace_s)
         self._kept[instance_id] = _Kept(until, is_prolonged=True)
 
     def keep_as_stated(self, instance_id, left_s):
-        """Keep a target for no longer than a peer that the source answers does."""
+        """Keep a target for at most the remaining time that a peer has stated."""
         until = Deadline.after(self._clock, min(left_s, self._settings.lapse_grace_s))
         own = self._kept.get(instance_id)
         if own is not None and own.until.at_s < until.at_s:
@@ -98,15 +100,15 @@
         self._kept[instance_id] = _Kept(until, is_prolonged=False)
 
     def discard(self, instance_id):
-        """Forget a target that is listed again, or gone."""
+        """Stop keeping a target that is listed again, or gone."""
         self._kept.pop(instance_id, None)
 
     def left_s(self, instance_id):
-        """Return for how long a target is kept, seconds."""
+        """Return the remaining time for which a target is kept, seconds."""
         return self._kept[instance_id].until.left_s()
 
     def expired(self):
-        """Return the ids of those that have not come back in time."""
+        """Return the ids of kept targets whose deadline has passed."""
         return [
             instance_id
             for instance_id, kept in self._kept.items()
@@ -115,9 +117,9 @@
         ]
 
     def _grace_s(self, now_s):
-        """Return for how long entries that vanish from now on are kept, seconds.
+        """Return the grace period for entries that vanish from now on, seconds.
 
-        The source may have been back since the last call without an answer began.
+        The source may have recovered as early as the last failed call began.
         """
         settings = self._settings
         if self._failed_call_at_s is None:
--- a/siskinthread/gateway/_list_digest.py
+++ b/siskinthread/gateway/_list_digest.py
@@ -1,4 +1,4 @@
-"""Digest of a target list, by which hosts tell whether they know the same."""
+"""Digest by which hosts compare their target lists."""
 
 import hashlib
 
@@ -6,15 +6,15 @@
 
 
 class ListDigest:
-    """Digest of the entries as their source lists them.
+    """Digest of the target entries as the source lists them.
 
-    What this host has learnt in other ways, as by an answer of a target that leaves,
-    is not part of it: two hosts that have read the same have the same digest.
+    Information from other origins, such as an answer of a leaving target, is not
+    included, so that hosts that have read the same list have the same digest.
 
     Attributes
     ----------
     value : int
-        The digest; independent of the order in which entries came.
+        The digest, of ``DIGEST_BYTES`` bytes; independent of the order of entries.
     """
 
     __slots__ = ("_parts", "value")
@@ -24,20 +24,20 @@
         self.value = 0
 
     def replace(self, entries):
-        """Take the whole list of `TargetEntry`."""
+        """Replace all entries by a list of `TargetEntry`."""
         self._parts.clear()
         self.value = 0
         for entry in entries:
             self.put(entry)
 
     def put(self, entry):
-        """Take an entry in, or its newer state."""
+        """Add or update an entry."""
         part = _digest_entry(entry)
         self.value ^= part ^ self._parts.get(entry.listed_id, 0)
         self._parts[entry.listed_id] = part
 
     def remove(self, listed_id):
-        """Take an entry out."""
+        """Remove an entry by its listed id, if it is present."""
         self.value ^= self._parts.pop(listed_id, 0)
 
 
--- a/siskinthread/gateway/_reachability_checks.py
+++ b/siskinthread/gateway/_reachability_checks.py
@@ -1,4 +1,4 @@
-"""Connecting to targets to find out whether their failure domain can be reached."""
+"""Checks by connecting to targets whether their failure domain is reachable."""
 
 import curio
 
@@ -8,16 +8,17 @@
 
 
 class ReachabilityChecks:
-    """Checks failure domains that are suspected to be cut off, and those that are.
+    """Checks failure domains that are unreachable, or suspected to be.
 
     Parameters
     ----------
     parts : GatewayParts
-        Targets, and what is known of their failure domains.
+        Targets, and the circuit breakers of their failure domains.
 
     Notes
     -----
-    A check is a connection without a request: a caller's request would wait for it.
+    A check is a connection without a request; a caller's request would be delayed by
+    the connect time-out.
     """
 
     __slots__ = ("_parts", "_woken")
@@ -27,7 +28,7 @@
         self._woken = curio.Event()
 
     async def run(self):
-        """Make the checks that are due, for ever."""
+        """Make the checks that are due, until cancelled."""
         reachability = self._parts.reachability
         while True:
             self._woken.clear()
@@ -41,17 +42,17 @@
                 await curio.ignore_after(wait_s, self._woken.wait)
 
     async def note_unreachable(self, entry):
-        """Note that a target could not be connected to, and see to the check of it."""
+        """Note a failure to connect to a target, and schedule checks."""
         target_count = len(self._targets_of(entry.failure_domain))
         self._parts.reachability.note_unreachable(entry, target_count)
         await self._woken.set()
 
     def note_reached(self, failure_domain):
-        """Note that a target of a failure domain answered or took a connection."""
+        """Note that a target of a failure domain answered or accepted a connection."""
         if not self._parts.reachability.note_reached(failure_domain):
             return
         for entry in self._targets_of(failure_domain):
-            # They were passed over for the time-outs of the partition.
+            # The targets were ejected for the time-outs that the partition caused.
             self._parts.health.forget(entry.instance_id)
 
     def _targets_of(self, failure_domain):
@@ -62,7 +63,7 @@
         ]
 
     def _sample(self, failure_domain, count):
-        """Return targets to check, chosen at random, as far as there are any."""
+        """Return at most `count` targets to check, drawn at random."""
         if failure_domain in self._parts.targets.evacuated_domains():
             return []
         targets = self._targets_of(failure_domain)
--- a/siskinthread/gateway/_reader_lease.py
+++ b/siskinthread/gateway/_reader_lease.py
@@ -1,9 +1,9 @@
-"""Whether readers of the failure domain spare a host its own reads.
+"""Lease by which a host relies on the readers of its failure domain.
 
-Each read of the configuration is a call that is paid for, and each host's own read that
-waits costs one every 8 s and one for each change.  So the first hosts of a failure
-domain read, and tell the others several times a second up to where.  A host that hears
-nothing for a part of a second reads for itself.
+Each read of the configuration is a billed call; a host that polls for itself makes one
+every 8 s and one for each change.  So only the first hosts of a failure domain read,
+and announce their position to the others several times a second.  A host that receives
+no announcement for a fraction of a second reads for itself.
 """
 
 import enum
@@ -12,36 +12,37 @@
 
 
 class ReadingOutcome(enum.Enum):
-    """What a reading of a peer means to this host."""
+    """What a reading of a peer implies for this host."""
 
-    # It says nothing that may be believed.
+    # The reading is not valid for this host.
     IGNORED = "ignored"
-    # There is nothing that this host has not read.
+    # This host's position is up to date.
     CONFIRMED = "confirmed"
-    # There is something behind this host's position.
+    # The peer is ahead of this host's position.
     AHEAD = "moved"
 
 
 class ReaderLease:
-    """What readers have told, and for how long it counts.
+    """Positions that readers have announced, and the lease that they grant.
 
     Parameters
     ----------
     settings : GatewaySettings
-        How long the word of a reader counts.
+        Duration of the lease.
     age_limit_s : float
-        Longest time since the source answered a reader that is believed, seconds.
+        Longest time since the source answered a reader at which an announcement is
+        valid, seconds.
     clock : siskinthread.timing.Clock
-        Clock of the times.
+        Clock for the lease.
     eras : siskinthread.source_eras.EraWatch
         Eras of the source that were reported to this host.
 
     Notes
     -----
-    A host is spared while two conditions hold.  A reader was heard lately.  And since
-    the last own read, no pause between two words was longer than they count: news that
-    wait in the socket of a process that was stopped look young, but can't extend what
-    has run out.
+    A host may skip its own reads while two conditions hold: a reader was heard within
+    the duration of the lease, and the lease has not expired since the last own read.
+    Datagrams in the socket of a process that was stopped look recent, but can't renew
+    an expired lease.
     """
 
     __slots__ = (
@@ -61,24 +62,24 @@
         self._clock = clock
         self._trust_expiry = Deadline.after(clock, 0.0)
         self._heard_expiry = Deadline.after(clock, 0.0)
-        # Readings that are ahead of the own position, by the address of the peer.
+        # Readings that are ahead of the own position, by the address of the reader.
         self._readings_ahead = {}
 
     def note_own_read(self):
-        """Note an answer of the source itself."""
+        """Renew the lease after an answer of the source itself."""
         self._trust_expiry = Deadline.after(self._clock, self._settings.table_word_s)
 
     def hear(self, reading, sender, position):
-        """Take what a reader has read.
+        """Process the announcement of a reader.
 
         Parameters
         ----------
         reading : object
-            Its ``position``, and ``age_s`` since the source answered it.
+            Reader's ``position``, and time ``age_s`` since the source answered it.
         sender : siskinthread.settings.Address
-            The reader.
+            Address of the reader.
         position : siskinthread.source_eras.Position or None
-            Up to where this host has read, or taken from peers.
+            Position that this host has read, or fetched from peers.
 
         Returns
         -------
@@ -96,7 +97,7 @@
         return ReadingOutcome.AHEAD
 
     def left_s(self):
-        """Return for how long this host is spared, seconds; 0 if it is not."""
+        """Return the time until the lease expires, seconds; 0 if it has expired."""
         return min(self._trust_expiry.left_s(), self._heard_expiry.left_s())
 
     def ahead(self, position):
@@ -105,6 +106,7 @@
         Returns
         -------
         list of tuple of siskinthread.settings.Address, object
+            Addresses of readers, and their readings.
         """
         self._readings_ahead = {
             sender: reading
@@ -116,14 +118,14 @@
         )
 
     def forget_ahead(self):
-        """Forget what readers were ahead with; it could not be taken from them."""
+        """Forget which readers were ahead."""
         self._readings_ahead.clear()
 
     def _is_valid_reading(self, reading, position):
-        """Return whether a reading is of the own era, not behind, and not too old.
+        """Return whether a reading is of the same era, not behind, and not stale.
 
-        Readings without an era count only where no era was ever reported to this
-        host; readers check the same on their side before they tell.
+        Readings without an era are valid only if no era was ever reported to this
+        host; readers make the same check before they announce a position.
         """
         era = reading.position.era
         return (
--- a/siskinthread/gateway/_release_pace.py
+++ b/siskinthread/gateway/_release_pace.py
@@ -1,25 +1,26 @@
-"""How fast requests that have waited are sent on."""
+"""Rate limit for the release of waiting requests."""
 
 from collections import deque
 
 
 class ReleasePace:
-    """Lets waiting requests go as fast as the free slots take those of all hosts.
+    """Releases waiting requests only as fast as free slots can take those of all hosts.
 
     Parameters
     ----------
     settings : GatewaySettings
-        The load from which on requests are refused.
+        Load at which requests are refused.
     loads : TargetLoads
-        Requests at targets, and how soon peers tell theirs.
+        Requests at targets, and the interval between messages of peers.
     clock : siskinthread.timing.Clock
-        Clock of the releases.
+        Clock for release times.
 
     Notes
     -----
-    When a group opens, requests wait at all entry hosts, and what peers have released
-    since their last news can't be seen.  Each host takes them to release as many as it
-    does itself.  Without this all hosts send all that waits to the same free slots.
+    When a group opens, requests are waiting at all entry hosts, and the requests that
+    peers have released since their last messages are unknown.  Each host assumes that
+    every peer releases as many as it does itself.  Without this, all hosts would send
+    all waiting requests to the same free slots.
     """
 
     __slots__ = ("_clock", "_loads", "_released_s", "_settings")
@@ -31,16 +32,16 @@
         self._released_s = deque()
 
     def note(self):
-        """Note that a request is released."""
+        """Note the release of a request."""
         self._released_s.append(self._clock.monotonic_s())
 
     def allows(self, entries):
-        """Return whether one more request may be released to some targets.
+        """Return whether one more request may be released.
 
         Parameters
         ----------
         entries : list of TargetEntry
-            The targets of its service.
+            The targets of the request's service.
         """
         peers = self._loads.peers
         if peers is None:
--- a/siskinthread/gateway/_served_reads.py
+++ b/siskinthread/gateway/_served_reads.py
@@ -1,19 +1,19 @@
-"""What readers of a failure domain hand out to its other hosts."""
+"""Data that the readers of a failure domain serve to its other hosts."""
 
 
 class ToldTable:
-    """What a reader hands out of its reading.
+    """Configuration as a reader serves it.
 
     Parameters
     ----------
     position : siskinthread.source_eras.Position
-        Up to where the reader has read.
+        Position up to which the reader has read.
     table : RouteTable or None
-        The newest configuration there.
+        Newest configuration at the position.
     record : object
-        The same as the source holds it, for whoever asks this host.
+        The same configuration in the form of the source, to be served to other hosts.
     evacuated : frozenset of str
-        Failure domains that are listed as evacuated at the position.
+        Failure domains that are evacuated at the position.
     """
 
     __slots__ = ("evacuated", "position", "record", "table")
@@ -25,23 +25,23 @@
         self.evacuated = evacuated
 
     def is_as_new_as(self, reading):
-        """Return whether it has all that a `TableReading` tells of."""
+        """Return whether the configuration is not older than a `TableReading`."""
         version = 0 if self.table is None else self.table.version
         is_behind = self.position.is_behind(reading.position)
         return not is_behind and version >= reading.version
 
 
 class ToldTargets:
-    """What a reader hands out of its reading of the list.
+    """Target list as a reader serves it.
 
     Parameters
     ----------
     position : siskinthread.source_eras.Position
-        Up to where the reader has read.
+        Position up to which the reader has read.
     age_s : float
         Time since that read began, seconds.
     entries : list of TargetEntry
-        The whole list there.
+        Complete list at the position.
     """
 
     __slots__ = ("age_s", "entries", "position")
--- a/siskinthread/gateway/_service_outages.py
+++ b/siskinthread/gateway/_service_outages.py
@@ -1,4 +1,4 @@
-"""Services without a usable target, and the requests that test whether it is over."""
+"""Outages of services, and requests that test whether an outage is over."""
 
 from siskinthread.gateway._inferred_outages import InferredOutages
 from siskinthread.observability import part_logger
@@ -8,7 +8,7 @@
 
 
 class _Test:
-    """A request that is sent in an outage to see whether it is over."""
+    """A request that is sent in an outage to test whether the outage is over."""
 
     __slots__ = ("limit", "next_test", "request")
 
@@ -19,18 +19,19 @@
 
 
 class ServiceOutages:
-    """Outages by the reports of groups, or as failed requests show them.
+    """Outages of services, from the state of groups or inferred from failed requests.
 
     Parameters
     ----------
     parts : GatewayParts
-        Settings, the choice of targets, the list of targets and clock.
+        Settings, the choice of targets, the target list and the clock.
 
     Attributes
     ----------
     reported : object or None
-        Tells outages of services with groups: ``service_outage(service_name)`` returns
-        an object with ``began_at_s`` or None.  None leaves all to failed requests.
+        Source of the outages of services with groups: ``service_outage(service_name)``
+        returns an object with ``began_at_s``, or None.  If None, all outages are
+        inferred from failed requests.
     """
 
     __slots__ = (
@@ -50,9 +51,9 @@
         self._choice = parts.choice
         self._targets = parts.targets
         self._inferred = InferredOutages(self._settings, parts.clock)
-        # When outages began that the reports of groups have shown, by service.
+        # Start of outages according to reports of groups, by service.
         self._reported_began_at_s = {}
-        # The last test of each service that has been tested.
+        # The last test, by service.
         self._tests = {}
         self.reported = None
         parts.choice.may_try_untrusted = self._may_try_untrusted
@@ -72,7 +73,7 @@
         return None
 
     def expected_left_s(self, service_name):
-        """Return how much longer an outage is expected to last, seconds; 0 if none."""
+        """Return the expected remaining time of an outage, seconds; 0 if none."""
         outage = self.outage(service_name)
         if outage is None:
             return 0.0
@@ -83,7 +84,7 @@
         self._inferred.note_served(service_name)
 
     def may_test(self, service_name):
-        """Return whether a request may test now whether an outage is over."""
+        """Return whether a request may now test whether an outage is over."""
         test = self._tests.get(service_name)
         if test is None:
             return not self._is_reported_lately(service_name)
@@ -91,7 +92,7 @@
         return not is_under_way and test.next_test.passed()
 
     def begin_test(self, request):
-        """Note that a request is sent to a service that is down."""
+        """Note that a request is sent to a service in an outage, as a test."""
         settings = self._settings
         interval_s = settings.test_interval_s
         if request.service_name in self._reported_began_at_s:
@@ -106,28 +107,28 @@
         )
 
     def end_test(self, request):
-        """Note that a request is over, or not sent after all."""
+        """Note that a test request has ended, or was not sent."""
         test = self._tests.get(request.service_name)
         if test is not None and test.request is request:
             test.request = None
 
     def forget_tests(self):
-        """Let each service be tested at once."""
+        """Allow an immediate test of each service."""
         self._tests.clear()
 
     def _may_try_untrusted(self, service_name):
-        """Return whether a request may go to a target although all of them fail."""
+        """Return whether a request may go to a target although all are ejected."""
         has_groups = self._has_groups(service_name)
         if self.reported is None or not has_groups:
             self._inferred.note_all_ejected(service_name)
         if not self._settings.is_enabled:
             return True
-        # All ranks of a group decline until it has formed anew, which the end of the
-        # time for which it is passed over allows for.
+        # All ranks of a group decline until the group has re-formed; the duration of
+        # the ejection of a group accounts for that.
         return not has_groups and self.may_test(service_name)
 
     def _is_reported_lately(self, service_name):
-        """Return whether reports of groups show an outage that has just begun."""
+        """Return whether an outage reported by groups has only just begun."""
         began_at_s = self._reported_began_at_s.get(service_name)
         if began_at_s is None:
             return False
--- a/siskinthread/gateway/_settings.py
+++ b/siskinthread/gateway/_settings.py
@@ -17,625 +17,649 @@
 
 
 class GatewaySettings(Section):
-    """Limits and waits of an entry that calls targets directly."""
+    """Limits and time-outs of an entry that connects to targets directly."""
 
     connections_limit = Item(
         int,
         default=3000,
         minimum=1,
-        description="Connections of callers served at once. Three quarters of the "
-        "4,100 descriptors that the smallest entry hosts have; targets take the rest.",
+        description="Maximum number of concurrent caller connections. Three quarters "
+        "of the 4,100 file descriptors of the smallest entry hosts; connections to "
+        "targets use the rest.",
     )
     head_size_limit_bytes = Item(
         int,
         default=16_384,
         minimum=256,
-        description="Largest head of a request until operators publish a limit.",
+        description="Maximum size of a request head until operators publish a limit.",
     )
     body_size_limit_bytes = Item(
         int,
         default=4_194_304,
         minimum=1,
-        description="Largest body of a request until operators publish a limit.",
+        description="Maximum size of a request body until operators publish a limit.",
     )
     bodies_limit_bytes = Item(
         int,
         default=67_108_864,
         minimum=1,
         description="Memory for the bodies of all requests together. A quarter of the "
-        "300 MB that the smallest entry hosts have.",
+        "300 MB of memory of the smallest entry hosts.",
     )
     answers_limit_bytes = Item(
         int,
         default=0,
         minimum=0,
-        description="Memory for answers that are held until they are whole, all "
-        "together; 0 for any. Beyond it, answers are passed on as they come.",
+        description="Memory for all answers that are buffered until they are complete; "
+        "0 for no limit. Beyond it, answers are streamed to callers unbuffered.",
     )
     slow_readers_limit_bytes = Item(
         int,
         default=0,
         minimum=0,
-        description="Memory, the kernel's buffers among it, for answers that callers "
-        "take slowly, all together; 0 for any. Beyond it, the slowest callers' "
-        "connections are ended.",
+        description="Memory, including kernel buffers, for all answers that callers "
+        "read slowly; 0 for no limit. Beyond it, the connections of the slowest "
+        "callers are closed.",
     )
     pipelined_limit_bytes = Item(
         int,
         default=65_536,
         minimum=1,
-        description="Bytes taken from a caller ahead of the request that is served.",
+        description="Maximum number of pipelined bytes that are read from a caller "
+        "while an earlier request is being served.",
     )
     send_buffer_bytes = Item(
         int,
         default=131_072,
         minimum=1,
-        description="Kernel's send buffer of a caller's connection.",
+        description="Size of the kernel send buffer of a caller's connection.",
     )
     idle_limit_s = Item(
         float,
         default=15.0,
         minimum=0.0,
-        description="Longest wait for the next request until operators publish one.",
+        description="Idle time-out of a caller's connection until operators publish "
+        "one.",
     )
     head_limit_s = Item(
         float,
         default=3.0,
         minimum=0.0,
-        description="Longest time for the head of a request until operators publish "
+        description="Time-out for receiving a request head until operators publish "
         "one.",
     )
     body_limit_s = Item(
         float,
         default=10.0,
         minimum=0.0,
-        description="Longest time from the end of a head to the end of the body. Above "
-        "the longest deadline of callers, 8 s.",
+        description="Time-out from the end of a request head to the end of its body. "
+        "Above the longest deadline of callers, 8 s.",
     )
     write_progress_limit_s = Item(
         float,
         default=5.0,
         minimum=0.0,
-        description="Longest time without the caller taking a byte of its answer. "
-        "Callers give a stream up after 2 s without an event.",
+        description="Longest time without the caller reading a byte of its answer. "
+        "Callers abandon a stream after 2 s without an event.",
     )
     linger_limit_s = Item(
         float,
         default=1.0,
         minimum=0.0,
-        description="Longest wait, after the last answer of a connection, for the "
-        "caller to close its side. Callers are less than 50 ms away.",
+        description="Longest wait, after the last answer on a connection, for the "
+        "caller to close its side. The latency to callers is below 50 ms.",
     )
     watch_interval_s = Item(
         float,
         default=0.1,
         minimum=0.001,
-        description="Time between two checks of the limits of callers' connections.",
+        description="Interval between checks of the time-outs of caller connections.",
     )
     balancer_notice_s = Item(
         float,
         default=2.3,
         minimum=0.0,
         description="Time from failing readiness until connections are refused. The "
-        "balancer asks once a second and acts on the second miss, after 2 s at most. "
-        "With idle_grace_s below 2.9 s: requests that come later are not sure to end "
-        "before the process is killed.",
+        "load balancer probes once a second and acts on the second failed probe, after "
+        "2 s at most. The sum with idle_grace_s must stay below 2.9 s: requests that "
+        "arrive later may not end before the process is killed.",
     )
     idle_grace_s = Item(
         float,
         default=0.3,
         minimum=0.0,
-        description="Time that an idle connection is kept during a drain, so that a "
-        "request just under way is still answered. Callers are less than 50 ms away.",
+        description="Time for which an idle connection stays open during a drain, so "
+        "that a request in transit is still answered. The latency to callers is below "
+        "50 ms.",
     )
     stop_margin_s = Item(
         float,
         default=0.4,
         minimum=0.0,
-        description="Part of the time to stop that is left unused, so that the last "
-        "answers are out before the process is killed.",
+        description="Part of the shutdown time that is left unused, so that the last "
+        "answers are sent before the process is killed.",
     )
     connect_limit_s = Item(
         float,
         default=0.1,
         minimum=0.0,
-        description="Longest wait for a connection to a target. Hosts are less than "
-        "15 ms apart; a lost opening packet is sent again only after 1 s. Small, so "
-        "that a stream whose first target can't be reached has its first event within "
-        "0.4 s from another one.",
+        description="Connect time-out for targets. The latency between hosts is below "
+        "15 ms; a lost SYN is retransmitted only after 1 s. Low, so that a stream "
+        "whose first target is unreachable gets its first event from another target "
+        "within 0.4 s.",
     )
     silence_limit_s = Item(
         float,
         default=1.2,
         minimum=0.0,
-        description="Longest time without an acknowledgement of sent bytes, or of a "
-        "probe, on a connection to a target. More than one retransmission at 200 ms "
-        "to 400 ms, less than the 2 s after which callers leave a silent stream.",
+        description="Longest time without a TCP acknowledgement of sent bytes, or of a "
+        "keep-alive probe, on a connection to a target. Above one retransmission at "
+        "200 ms to 400 ms, below the 2 s after which callers abandon a silent stream.",
     )
     whole_answer_limit_bytes = Item(
         int,
         default=262_144,
         minimum=0,
-        description="Largest answer that is held until it is whole, so that another "
-        "target can be asked if it breaks off; a larger one is passed on as it comes.",
+        description="Largest answer that is buffered until it is complete, so that the "
+        "request can be retried on another target if the connection breaks; larger "
+        "answers are streamed to the caller.",
     )
     answer_head_limit_bytes = Item(
-        int, default=65_536, minimum=256, description="Largest head of an answer."
+        int, default=65_536, minimum=256, description="Maximum size of an answer head."
     )
     idle_connections_limit = Item(
         int,
         default=16,
         minimum=0,
-        description="Idle connections kept to one target. Twice its slots.",
+        description="Maximum number of idle connections to one target. Twice the "
+        "number of its slots.",
     )
     reuse_limit_s = Item(
         float,
         default=4.0,
         minimum=0.0,
-        description="Longest rest of a connection to a target that is used again, if "
-        "the target states no shorter one.",
+        description="Longest idle time after which a connection to a target is reused, "
+        "if the target states no shorter one.",
     )
     connections = Item(
         ConnectionSettings,
-        description="Preference of kept connections to targets.",
+        description="Preference for idle connections to targets, and their number.",
     )
     lapse_grace_s = Item(
         float,
         default=2.2,
         minimum=0.0,
-        description="How long entries that lapse around an outage of the target list "
-        "are kept after it. Living targets are listed again within about 2 s.",
+        description="Grace period, after an outage of the target list, for target "
+        "entries that expire around it. Running targets are listed again within about "
+        "2 s.",
     )
     lapse_limit_s = Item(
         float,
         default=2.8,
         minimum=0.0,
-        description="How long such entries are kept at most since the last call that "
-        "the source did not answer began. A host that was cut off must not use a "
-        "target that has left from 3 s after the cut on.",
+        description="Upper limit of this grace period, counted from the start of the "
+        "last call that the source did not answer. From 3 s after the beginning of a "
+        "network partition, a host behind it must not use targets that have left.",
     )
     lapse_least_s = Item(
         float,
         default=1.6,
         minimum=0.0,
-        description="How long they are kept at least, though that call was long ago.",
+        description="Lower limit of this grace period, however long ago that call "
+        "began.",
     )
     evacuation_kept_s = Item(
         float,
         default=30.0,
         minimum=0.0,
-        description="How long a failure domain stays evacuated that the source does "
-        "not list any more since it came back older than it was. Operators write their "
-        "records again within some seconds.",
+        description="How long a failure domain stays evacuated after the source was "
+        "restored to an older state that does not list the evacuation. Operators write "
+        "their records again within some seconds.",
     )
     leaving_told_s = Item(
         float,
         default=10.0,
         minimum=0.0,
-        description="How long entries tell one another of a target that has said that "
-        "it leaves; longer than hosts that are cut off miss their news.",
+        description="How long entries announce a leaving target to their peers. Longer "
+        "than a host behind a network partition misses the announcements.",
     )
     leaving_told_limit = Item(
         int,
         default=32,
         minimum=1,
-        description="Such targets that a datagram names, the newest first; some 1 KB "
-        "of its 8 KB.",
+        description="Maximum number of leaving targets in a datagram, the most recent "
+        "first; about 1 KB of its 8 KB.",
     )
     reread_spread_s = Item(
         float,
         default=0.5,
         minimum=0.0,
-        description="Time over which the hosts of a failure domain read anew from a "
-        "source that has come back older, after the first of them. Half of the time "
-        "in which 99 hosts read 4 MB each at 800 MB a second, and a quarter of the 2 s "
-        "in which a change must be in force.",
+        description="Time over which the hosts of a failure domain spread their full "
+        "reads of a source that was restored to an older state, after the first of "
+        "them. Half of the time in which 99 hosts read 4 MB each at 800 MB/s, and a "
+        "quarter of the 2 s in which a change must be in force.",
     )
     load_report_limit_s = Item(
         float,
         default=1.0,
         minimum=0.0,
-        description="How long the load that a target stated counts. Half of the time "
-        "that a stream takes.",
+        description="How long a load report of a target is valid. Half of the duration "
+        "of a stream.",
     )
     slow_memory_s = Item(
         float,
         default=2.0,
         minimum=0.0,
-        description="How long the word of a group's controller that targets are slow "
-        "counts. It asks those twice a second.",
+        description="How long a statement of a group's controller that targets are "
+        "slow is valid. The controller polls the targets twice a second.",
     )
     full_load = Item(
         float,
         default=0.93,
         minimum=0.1,
-        description="Requests for each slot of the targets that could take a request, "
-        "from which on it is refused. Nearer to 1 each freed slot is seen by all "
-        "entries at once: with 39 of them, ten sent to it within 0.2 s, and 428 "
-        "requests were at targets with 320 slots.",
+        description="Requests per slot, over the eligible targets, at which a request "
+        "is refused. Closer to 1, all entries see a freed slot at once: with 39 "
+        "entries, ten sent a request to it within 0.2 s, and 428 requests were at "
+        "targets with 320 slots.",
     )
     fair_load = Item(
         float,
         default=0.75,
         minimum=0.0,
-        description="Requests for each slot from which on accounts that surge are "
-        "refused. What is left to full_load takes the others' requests for as long as "
-        "a stream takes, until slots of the surge come free.",
+        description="Requests per slot at which requests of surging accounts are "
+        "refused. The capacity between this load and full_load serves the other "
+        "accounts for the duration of a stream, until slots of the surge are freed.",
     )
     surge_ratio = Item(
         float,
         default=2.0,
         minimum=1.0,
-        description="How many times its usual an account may use while targets are "
-        "nearly full, relative to what most accounts use of theirs.",
+        description="How many times its usual load an account may use while targets "
+        "are nearly full, relative to the same ratio of most accounts.",
     )
     surge_margin_count = Item(
         int,
         default=3,
         minimum=0,
-        description="Requests that an account may have beside that; less is chance.",
+        description="Requests that an account may have on top of that ratio; smaller "
+        "excesses occur by chance.",
     )
     account_sample_interval_s = Item(
         float,
         default=1.0,
         minimum=0.01,
-        description="Time between two samples of what accounts use.",
+        description="Interval between samples of the load of accounts.",
     )
     account_sample_weight = Item(
         float,
         default=0.03,
         minimum=0.0,
-        description="Least weight of a sample in what an account uses usually: half of "
-        "it is of the last 23 s, so that a surge of seconds does not become the usual.",
+        description="Minimum weight of a sample in the exponentially weighted mean of "
+        "an account's load. Its half-life is 23 s, so that a surge of some seconds "
+        "does not become the usual load.",
     )
     account_least_samples = Item(
         int,
         default=4,
         minimum=1,
-        description="Samples until what an account uses usually is known.",
+        description="Number of samples from which the usual load of an account is "
+        "known.",
     )
     forgotten_account_mean = Item(
         float,
         default=0.01,
         minimum=0.0,
-        description="Usual requests below which an account is forgotten.",
+        description="Usual number of requests below which an account is forgotten.",
     )
     away_load = Item(
         float,
         default=0.2,
         minimum=0.0,
-        description="By how much the own failure domain must be more loaded than the "
-        "others for a request to be sent there, in parts of the slots, where only the "
-        "entries of the own one tell of their requests soon. One slot of five.",
+        description="Load by which the entry's own failure domain must exceed the "
+        "others for a request to be sent to another one, as a fraction of the slots. "
+        "Applies where only entries of the same failure domain report their requests "
+        "promptly. One slot of five.",
     )
     retry_after_s = Item(
         float,
         default=1.8,
         minimum=0.0,
-        description="Mean time after which a caller that was refused should come back; "
-        "near the time that a stream takes.",
+        description="Mean time after which a refused caller should retry; close to the "
+        "duration of a stream.",
     )
     retry_window_s = Item(
         float,
         default=10.0,
         minimum=0.1,
-        description="Window of the budget of repeats, unless the host's settings state "
+        description="Window of the retry budget, unless the host settings state "
         "another one.",
     )
     retry_share = Item(
         float,
         default=0.2,
         minimum=0.0,
-        description="Repeats for each request in the window that all entries together "
-        "may make, unless the host's settings state another one.",
+        description="Retries per request in the window that all entries together may "
+        "make, unless the host settings state another ratio.",
     )
     retry_floor_count = Item(
         int,
         default=88,
         minimum=0,
-        description="Repeats in the window beside the share, of all entries together, "
-        "unless the host's settings state another number. That of the smallest fleet.",
+        description="Retries in the window that all entries together may make on top "
+        "of the ratio, unless the host settings state another number. The value of the "
+        "smallest fleet.",
     )
     retry_margin = Item(
         float,
         default=0.75,
         minimum=0.0,
-        description="Part of the budget of repeats that is used. The rest is for "
-        "entries that were not known to others when they divided it.",
+        description="Fraction of the retry budget that is used. The rest covers "
+        "entries that were unknown to the others when they divided the budget.",
     )
     end_check_limit_s = Item(
         float,
         default=0.1,
         minimum=0.0,
-        description="Longest wait for whether a target that broke an exchange off "
-        "still listens. Hosts are less than 15 ms apart, and one whose process has "
-        "ended refuses at once.",
+        description="Time-out of the check whether a target that broke off an exchange "
+        "still listens. The latency between hosts is below 15 ms, and a host whose "
+        "process has ended refuses connections at once.",
     )
     end_settle_s = Item(
         float,
         default=0.02,
         minimum=0.0,
-        description="How long a connection to such a target must stay open for the "
-        "target to count as one that goes on. A process that exits resets it as soon "
-        "as its listener is closed, which may come after the end of its connections.",
+        description="How long a connection of this check must stay open for the target "
+        "to count as running. An exiting process resets it when its listener is "
+        "closed, which may happen after its connections are closed.",
     )
     ejection_s = Item(
         float,
         default=1.0,
         minimum=0.0,
-        description="How long a target is passed over after its first failure in a "
-        "row; doubled by each further one.",
+        description="How long a target is ejected after its first consecutive failure; "
+        "doubled by each further one.",
     )
     ejection_limit_s = Item(
         float,
         default=4.0,
         minimum=0.0,
-        description="Longest time that a failing target is passed over; the length of "
-        "the common short outages.",
+        description="Longest ejection of a failing target; the length of the common "
+        "short outages.",
     )
     avoided_s = Item(
         float,
         default=0.2,
         minimum=0.0,
-        description="Time for which a target that has declined a request gets one only "
-        "if no other target can take it; it doubles with each further decline.",
+        description="How long a target that has declined a request gets requests only "
+        "if no other target can serve them; doubled by each further decline.",
     )
     avoided_limit_s = Item(
         float,
         default=1.6,
         minimum=0.0,
-        description="Longest such time.",
+        description="Upper limit of the time for which a declining target is avoided.",
     )
     avoided_memory_s = Item(
         float,
         default=5.0,
         minimum=0.0,
-        description="Time after which a decline counts no more for the next one.",
+        description="Time after which earlier declines no longer prolong the time for "
+        "which a target is avoided.",
     )
     reachability_count = Item(
         int,
         default=3,
         minimum=2,
-        description="Targets of a failure domain that can't be connected to one after "
-        "the other, without an answer of any target there, from which on no request "
-        "is sent there. Single targets that are gone are passed over one by one.",
+        description="Number of targets of a failure domain with consecutive connect "
+        "failures, without an answer of any target there, at which the circuit breaker "
+        "of the failure domain opens. Single targets that are gone are ejected "
+        "individually.",
     )
     reachability_window_s = Item(
         float,
         default=2.0,
         minimum=0.1,
-        description="Time within which these failures must come.",
+        description="Window within which these failures must occur.",
     )
     reachability_check_s = Item(
         float,
         default=0.5,
         minimum=0.05,
-        description="Time between two checks of a failure domain that can't be "
-        "reached. Callers that come back after a refusal wait for longer.",
+        description="Interval between checks of an unreachable failure domain. Refused "
+        "callers wait longer before they retry.",
     )
     stall_limit_s = Item(
         float,
         default=0.5,
         minimum=0.05,
-        description="Time without an event for any stream of a group after which the "
-        "group is taken to stand still. Passes take 0.05 s to 0.13 s, and 0.27 s with "
-        "a rank that is half as fast.",
+        description="Time without an event on any stream of a group after which the "
+        "group counts as stalled. Passes take 0.05 s to 0.13 s, and 0.27 s with a rank "
+        "that runs at half speed.",
     )
     stall_memory_s = Item(
         float,
         default=1.0,
         minimum=0.0,
-        description="How long a group counts as standing still after its last silent "
-        "stream has ended. Then a request tries it, which its caller leaves after 2 s.",
+        description="How long a group counts as stalled after its last silent stream "
+        "has ended. Then a request tests the group; its caller abandons a silent "
+        "stream after 2 s.",
     )
     group_ejection_s = Item(
         float,
         default=0.8,
         minimum=0.0,
-        description="How long a group is passed over after the last sign that it is "
-        "broken, if reports don't tell; then one request tests it. Groups form anew "
-        "within 0.6 s.",
+        description="How long a group is ejected after the last evidence that it is "
+        "broken, if there are no reports of its ranks; then one request tests it. "
+        "Groups re-form within 0.6 s.",
     )
     outage_reported_s = Item(
         float,
         default=0.8,
         minimum=0.05,
-        description="How long a rank's report that its group is broken counts; no "
-        "request tests the group meanwhile. Four intervals between two reports.",
+        description="How long a rank's report that its group is broken is valid; no "
+        "request tests the group meanwhile. Four report intervals.",
     )
     outage_test_limit_s = Item(
         float,
         default=2.0,
         minimum=0.05,
-        description="How long a request that tests a broken group bars another one. "
-        "Callers leave a stream that is silent for 2 s.",
+        description="How long a request that tests a broken group prevents another "
+        "test. Callers abandon a stream that is silent for 2 s.",
     )
     outage_lead_s = Item(
         float,
         default=2.0,
         minimum=0.0,
-        description="How long before a group is known to be broken its ranks may have "
-        "failed from the same cause. They stall for 1.5 s before they decline.",
+        description="Failures of ranks up to this time before their group is known to "
+        "be broken are attributed to the same cause. Ranks stall for 1.5 s before they "
+        "decline.",
     )
     outage_told_s = Item(
         float,
         default=3.0,
         minimum=0.0,
-        description="How long peers are told of the state of a group after it was "
-        "seen; three regular datagrams to other failure domains.",
+        description="How long the observed state of a group is sent to peers; three "
+        "regular datagrams to other failure domains.",
     )
     outage_forgotten_s = Item(
         float,
         default=60.0,
         minimum=1.0,
-        description="Time without any sign of a broken group after which it is "
-        "forgotten; its ranks have been replaced by another group's.",
+        description="Time without any evidence of a broken group after which it is "
+        "forgotten; its ranks have been replaced by those of another group.",
     )
     controllers_per_domain = Item(
         int,
         default=3,
         minimum=1,
-        description="Entries of each failure domain among which the control of groups "
-        "is shared out. With three, two may fail before others join.",
+        description="Number of entries of each failure domain among which the control "
+        "of groups is divided. With three, two may fail before other entries take "
+        "over.",
     )
     return_limit_share = Item(
         float,
         default=0.31,
         minimum=0.0,
-        description="Part of the time left within which a refused caller is asked to "
-        "come back, and after which if every target of the service fails. Callers "
-        "wait for a third at most; the answer takes some milliseconds to them.",
+        description="Fraction of a refused request's remaining time within which its "
+        "caller is asked to retry, and after which if every target of the service "
+        "fails. Callers wait for at most a third; the answer takes some milliseconds "
+        "to reach them.",
     )
     source_retry_s = Item(
         float,
         default=0.5,
         minimum=0.01,
         description="Wait after a failed read of the configuration or of the target "
-        "list. Twelve entries then make 48 calls a second in an outage, an eighth of "
+        "list. In an outage twelve entries then make 48 calls per second, an eighth of "
         "the 400 that are allowed.",
     )
     source_retry_limit_s = Item(
         float,
         default=2.0,
         minimum=0.01,
-        description="Longest wait after failed reads in a row, for hosts that are not "
-        "the first of their failure domain. Entries that lapse in an outage are back "
-        "within 2 s of its end.",
+        description="Longest back-off after consecutive failed reads, for hosts that "
+        "are not the first of their failure domain. Target entries that expire in an "
+        "outage are listed again within 2 s of its end.",
     )
     table_pause_s = Item(
         float,
         default=0.5,
         minimum=0.0,
-        description="Time between two reads of the configuration while it changes. A "
-        "series of 25 changes in 2 s then takes 5 reads instead of 25, and each is in "
-        "force within 0.6 s; 2 s are allowed.",
+        description="Interval between reads of the configuration while it changes. A "
+        "series of 25 changes in 2 s then takes 5 reads instead of 25, and each change "
+        "is in force within 0.6 s; 2 s are allowed.",
     )
     snapshot_interval_s = Item(
         float,
         default=0.4,
         minimum=0.01,
-        description="Time between two looks at whether peers know more than this "
+        description="Interval between checks whether peers have newer data than this "
         "entry. Changes must be in force within 2 s.",
     )
     table_wait_s = Item(
         float,
         default=8.0,
         minimum=0.0,
-        description="How long a read of the configuration may wait for a change. "
-        "Each read costs a call; probes notice a silent connection within 3 s.",
+        description="Long-poll time-out of a read of the configuration. Each read is a "
+        "billed call; keep-alive probes detect a silent connection within 3 s.",
     )
     table_fresh_s = Item(
         float,
         default=1.5,
         minimum=0.0,
-        description="How much longer than that a read may take before this entry takes "
-        "its configuration for out of date.",
+        description="Additional time, beyond table_wait_s, after which this entry "
+        "considers its configuration stale.",
     )
     table_readers_per_domain = Item(
         int,
         default=2,
         minimum=0,
-        description="Hosts of each failure domain that read the configuration for the "
-        "others; 0 has each host read for itself. With two, a reader that is stopped, "
-        "killed or cut off delays nothing.",
+        description="Number of hosts of each failure domain that read the "
+        "configuration on behalf of the others; with 0 each host reads for itself. "
+        "With two, no update is delayed by a reader that is stopped, killed or "
+        "partitioned.",
     )
     table_word_s = Item(
         float,
         default=0.7,
         minimum=0.01,
-        description="How long the word of a reader of the configuration counts. A host "
-        "that hears nothing for longer reads for itself; evacuations must be in force "
+        description="Lease that a message of a configuration reader grants. A host "
+        "that receives none for longer reads for itself; evacuations must be in force "
         "within 1 s, and a read takes less than 0.1 s.",
     )
     table_take_spread_s = Item(
         float,
         default=0.03,
         minimum=0.0,
-        description="Time over which the hosts of a failure domain ask readers for a "
-        "new configuration; by then more than one reader has told of it.",
+        description="Time over which the hosts of a failure domain spread their "
+        "requests to readers for a new configuration; by then more than one reader has "
+        "announced it.",
     )
     table_take_pause_s = Item(
         float,
         default=0.3,
         minimum=0.0,
-        description="Time between two takings of the configuration from a reader. With "
-        "`table_pause_s` of the reader before, a change is in force within 0.9 s.",
+        description="Interval between fetches of the configuration from a reader. "
+        "After the reader's own `table_pause_s`, a change is in force within 0.9 s.",
     )
     told_targets_limit = Item(
         int,
         default=500,
         minimum=0,
-        description="Most targets with which a changed list is taken whole from a "
-        "reader. With more, each host reads the changes from the source: packing 3,000 "
-        "entries takes a reader 8 ms and 85 kB for each host that asks.",
+        description="Largest number of targets at which a changed list is fetched "
+        "completely from a reader. With more, each host reads the changes from the "
+        "source: encoding 3,000 entries costs a reader 8 ms and 85 kB per requesting "
+        "host.",
     )
     hand_out_bytes_s = Item(
         int,
         default=400_000,
         minimum=0,
-        description="Bytes of the configuration that a reader hands out in a second, "
-        "and of the target list; hosts that get none read for themselves. A quarter "
-        "of the slowest link of entry hosts, 14 Mbit/s; a configuration of 840 routes "
-        "takes 32 KB.",
+        description="Rate at which a reader serves the configuration, and likewise the "
+        "target list, to other hosts; hosts beyond the limit read for themselves. A "
+        "quarter of the slowest link of entry hosts, 14 Mbit/s; a configuration of 840 "
+        "routes takes 32 KB.",
     )
     target_interval_s = Item(
         float,
         default=1.0,
         minimum=0.01,
-        description="Time between two reads of the target list by the host that reads "
-        "for its failure domain. A target that leaves may get requests for 2 s more; "
-        "one read can be lost, or be slow for 1 s.",
+        description="Interval between reads of the target list by the reader of a "
+        "failure domain. A leaving target may get requests for 2 s more, so one read "
+        "may be lost, or be slow for 1 s.",
     )
     shares_target_reads = Item(
         bool,
         default=True,
         description="Whether the readers of all failure domains share one read of the "
-        "target list, and hand it out; else each reads at `target_interval_s`, and "
-        "each host reads what has changed.",
+        "target list and serve it to other hosts; otherwise each reader reads every "
+        "`target_interval_s`, and each host reads changes from the source.",
     )
     target_age_limit_s = Item(
         float,
         default=1.2,
         minimum=0.01,
-        description="Age of what a host knows of the target list, by itself or from a "
-        "peer, at which it reads the list. A read that takes 0.8 s still ends within "
-        "the 2 s for which a leaving target may get requests.",
+        description="Age of a host's target list, as read by itself or confirmed by a "
+        "peer, at which the host reads the list. A read that takes 0.8 s still ends "
+        "within the 2 s for which a leaving target may get requests.",
     )
     upkeep_interval_s = Item(
         float,
         default=1.0,
         minimum=0.01,
-        description="Time between two looks at connections that rest.",
+        description="Interval between checks of idle connections.",
     )
     load_control = Item(
         LoadControlSettings,
-        description="Which requests are refused as targets fill up.",
+        description="Load shedding as targets fill up.",
     )
     speeds = Item(
         SpeedSettings,
-        description="Placement of requests by the measured speed of targets.",
+        description="Placement of requests by the observed speed of targets.",
     )
     limits = Item(
         TargetLimitSettings,
-        description="Rates that targets in need name, and how they are shared.",
+        description="Request rate limits that overloaded targets state, and their "
+        "division among entries.",
     )
     backoff = Item(
         TargetBackoffSettings,
-        description="Return to targets that have requested back-off of this entry.",
+        description="Return to targets that have asked this entry to back off.",
     )
     cold = Item(
         ColdTargetSettings,
-        description="Requests that targets may get which are cold after a start.",
+        description="Request limits of targets that are cold after a start.",
     )
     poison = Item(
         PoisonSettings,
-        description="Requests under which targets end, and their limits.",
+        description="Requests that crash targets, and their limits.",
     )
     waiting = Item(
         WaitingSettings,
-        description="Requests that wait at this host while no target is usable.",
+        description="Queueing of requests at this host while no target is usable.",
     )
     returns = Item(
         ReturnSettings,
-        description="When refused callers come back, and their places then.",
+        description="Retry times of refused callers, and the capacity reserved for "
+        "them.",
     )
--- a/siskinthread/gateway/_slow_targets.py
+++ b/siskinthread/gateway/_slow_targets.py
@@ -1,4 +1,4 @@
-"""Targets that are so slow that they hold others back."""
+"""Targets that are so slow that they delay the other ranks of their group."""
 
 from siskinthread.timing import Deadline
 
@@ -9,14 +9,14 @@
     Parameters
     ----------
     settings : GatewaySettings
-        How long a word of them counts.
+        How long a statement about slow targets is valid.
     clock : siskinthread.timing.Clock
-        Clock of the ages.
+        Clock for deadlines.
 
     Attributes
     ----------
     peers : siskinthread.peer_news.PeerNews or None
-        Tells what other entries have learnt.
+        Slow targets that other entries have learnt of.
     """
 
     __slots__ = ("_clock", "_own", "_settings", "peers")
@@ -24,17 +24,17 @@
     def __init__(self, settings, clock):
         self._settings = settings
         self._clock = clock
-        # Ids and their expiry, by group.
+        # Instance ids and their expiry, by group.
         self._own = {}
         self.peers = None
 
     def note(self, group, instance_ids):
-        """Note the slow targets of a group; those of before are not slow any more."""
+        """Replace the slow targets of a group."""
         expiry = Deadline.after(self._clock, self._settings.slow_memory_s)
         self._own[group] = list(instance_ids), expiry
 
     def own_ids(self):
-        """Return the targets that this entry has learnt of itself."""
+        """Return the slow targets that this entry itself has learnt of, sorted."""
         return sorted(
             instance_id
             for instance_ids, expiry in self._own.values()
@@ -43,10 +43,10 @@
         )
 
     def is_slow(self, instance_id):
-        """Return whether a target is slow as any entry has learnt."""
+        """Return whether a target is slow according to any entry."""
         return instance_id in self.ids()
 
     def ids(self):
-        """Return the targets that any entry has learnt of, as a set."""
-        told = set() if self.peers is None else self.peers.slow_targets()
-        return told.union(self.own_ids())
+        """Return the set of targets that are slow according to any entry."""
+        by_peers = set() if self.peers is None else self.peers.slow_targets()
+        return by_peers.union(self.own_ids())
--- a/siskinthread/gateway/_snapshots.py
+++ b/siskinthread/gateway/_snapshots.py
@@ -1,4 +1,4 @@
-"""Taking over what peers know while the sources turn this process away."""
+"""Fetching data from peers while the sources do not answer this process."""
 
 import curio
 
@@ -10,22 +10,22 @@
 
 
 class Snapshot:
-    """Configuration and targets as a peer knows them.
+    """Configuration and targets of a peer.
 
     Parameters
     ----------
     table : RouteTable or None
-        The peer's routes.
+        The peer's route table.
     entries : list of TargetEntry
         The peer's targets.
     kept_left_s : dict of str to float
-        Listed ids of those that the peer only keeps for a while, since they vanished
-        around an outage, and for how long, seconds.
+        Listed ids of targets that the peer keeps after they vanished around an outage,
+        with the remaining times, seconds.
     listing : siskinthread.peer_news.ListStatement or None
-        Up to where the peer has read the list, and the age of that reading; None if it
-        knows the list by hearsay.
+        Position that the peer has read the list up to, and age of that read; None if
+        the peer has not read the list itself.
     evacuations : siskinthread.peer_news.EvacuationStatement or None
-        Failure domains that the peer knows to be evacuated.
+        Failure domains that the peer considers evacuated.
     """
 
     __slots__ = ("entries", "evacuations", "kept_left_s", "listing", "table")
@@ -39,7 +39,7 @@
 
 
 class SnapshotFollower:
-    """Takes over what peers know while the sources turn this process away.
+    """Applies snapshots of peers while the sources do not answer this process.
 
     Parameters
     ----------
@@ -47,32 +47,32 @@
         ``async fetch(address)`` returns the `Snapshot` of a peer; raises
         `PlatformUnavailableError`.
     peers : siskinthread.peer_news.PeerNews
-        Tells which peers are informed.
+        States which peers are informed, that is, answered by the sources.
     view : TableView
         Where tables come into force.
     targets : TargetList
-        Tells whether any target is known.
+        Known targets.
     table_follower : TableFollower
-        Told to read again if a peer has a newer table.
+        Is made to read again if a peer has a newer table.
     target_follower : TargetFollower
-        Takes the targets, and tells whether its source answers.
+        Applies the targets, and knows whether its source answers.
     settings : GatewaySettings
-        Times.
+        Intervals.
     clock : siskinthread.timing.Clock
-        Clock of the ages.
+        Clock for ages.
 
     Attributes
     ----------
     dependency : Dependency
-        When a snapshot was last taken.
+        When a snapshot was last applied or confirmed.
     evacuations : Evacuations or None
-        Told which failure domains are evacuated.
+        Receives the evacuated failure domains.
 
     Notes
     -----
-    The sources may refuse some processes and serve others.  One would notice a process
-    that sends requests to targets which left seconds ago, lets revoked keys pass, or,
-    just started, refuses everything.
+    The sources may refuse some processes and serve others.  Without snapshots, a
+    refused process would send requests to targets that have left, accept revoked API
+    keys, or refuse all requests after a start.
     """
 
     __slots__ = (
@@ -108,17 +108,18 @@
         self._table_follower = table_follower
         self._target_follower = target_follower
         self._settings = settings
-        # What the peer of the last snapshot had told of before it was taken.
+        # Table version and list digest that the peer of the last snapshot had announced
+        # before the snapshot was fetched.
         self._last_announced = None
-        # The newest version of a peer at the last look, while this host is spared.
+        # Newest version of a peer at the last check, while this host relies on readers.
         self._awaited_version = 0
-        # Version of a peer for which the source was last asked again.
+        # Version of a peer that last made this host read the source again.
         self._behind_version = 0
         self.dependency = Dependency("news of peers", clock)
         self.evacuations = None
 
     async def run(self):
-        """Follow for ever."""
+        """Check peers at intervals until cancelled."""
         while True:
             await curio.sleep(self._settings.snapshot_interval_s)
             if self._is_cut_off():
@@ -142,11 +143,11 @@
         return self._peers.newest_version() > known
 
     async def _catch_up(self):
-        """Get the configuration that a peer has and this process has not.
+        """Get the newer configuration of a peer although the source answers.
 
-        The source has not told this process yet, but it does answer.  If it has been
-        asked again, it may have come back older than it was: what it acknowledged is
-        still in force, also for a process that has only just started.
+        First the source is read again.  If it still lacks the version, it may have been
+        restored to an older state; the version that it acknowledged earlier stays in
+        force, also for a process that has just started.
         """
         newest = self._peers.newest_version()
         if self._is_update_pending(newest):
@@ -159,11 +160,11 @@
             await self._fetch_from(informed[0], is_informed=True, with_targets=False)
 
     def _is_update_pending(self, newest):
-        """Return whether a reader is about to hand the configuration over.
+        """Return whether a reader is about to serve the newer configuration.
 
-        A host that is spared its own reads is behind for a moment after each change.
-        Only if it has not reached by the next look what was the newest at this one,
-        the readers have missed it.
+        A host that relies on readers is briefly behind after each change.  The readers
+        have missed a change only if this host has not reached the version that was the
+        newest at the previous check.
         """
         if not self._table_follower.is_spared():
             return False
@@ -179,34 +180,38 @@
         if informed:
             await self._fetch_unless_known(informed[0])
         elif self._lacks_data():
-            # The sources are away for everybody.  What others still serve by is better
-            # than refusing everything until they are back.
+            # No host reaches the sources.  The data that a peer still uses are better
+            # than refusing all requests until the sources are back.
             for address in self._peers.serving_peers()[:1]:
                 await self._fetch_from(address, is_informed=False)
 
     async def _fetch_unless_known(self, address):
-        """Take the snapshot of an informed peer, unless it would tell nothing new.
+        """Apply the snapshot of an informed peer, unless it contains nothing new.
 
-        Symptom without this: 35 of 99 entries that the store turns away each ask a peer
-        for half a megabyte (1,680 routes, 197 targets) every 0.4 s, 42 MB a second in
-        all (reckoned), over links of 20 to 40 Mbit/s.
+        Otherwise, if the store refuses 35 of 99 entries, each of them fetches half a
+        megabyte (1,680 routes, 197 targets) every 0.4 s, 42 MB/s in all (calculated),
+        over links of 20 to 40 Mbit/s.
         """
         state = self._peers.state_of(address)
-        told = None
+        announced = None
         if state is not None and state.listing is not None:
-            told = (state.table_version, state.listing.digest)
-        if told is not None and told == self._last_announced and not self._lacks_data():
+            announced = (state.table_version, state.listing.digest)
+        if (
+            announced is not None
+            and announced == self._last_announced
+            and not self._lacks_data()
+        ):
             self.dependency.answered()
             self._targets.note_confirmed(state.listing.age_s)
             return
         if await self._fetch_from(address, is_informed=True):
-            self._last_announced = told
+            self._last_announced = announced
 
     def _lacks_data(self):
         return self._view.table is None or not self._targets.entries()
 
     async def _fetch_from(self, address, is_informed, with_targets=True):
-        """Take a peer's snapshot; return whether it came and was of use."""
+        """Fetch a peer's snapshot; return whether it arrived and was not rejected."""
         try:
             snapshot = await self._fetch(address)
         except PlatformUnavailableError as error:
@@ -215,7 +220,7 @@
         if is_informed:
             self.dependency.answered()
         if self.evacuations is not None:
-            # Before the table, which may make this process ready.
+            # Applied before the table, which may make this process ready.
             self.evacuations.hear(snapshot.evacuations, str(address))
         if snapshot.table is not None and self._view.advance(snapshot.table):
             _logger.event(
--- a/siskinthread/gateway/_suspect_readers.py
+++ b/siskinthread/gateway/_suspect_readers.py
@@ -1,37 +1,37 @@
-"""Whether readers of a failure domain spare a host its reads of suspected requests."""
+"""Readers on which the hosts of a failure domain rely for suspected requests."""
 
 import curio
 
 from siskinthread.gateway._reader_lease import ReaderLease, ReadingOutcome
 from siskinthread.peer_news import SuspectsReading
 
-# How much longer than it may wait a read takes at most, seconds.
+# Longest duration of a read beyond its long-poll time-out, seconds.
 READ_MARGIN_S = 1.5
 
 
 class SuspectReaders:
-    """Hosts that read for the others what a store has of suspected requests.
+    """Hosts that read the stored suspected requests on behalf of others.
 
-    They are those that read the configuration, and tell of both at once.
+    The readers are those of the configuration, and announce both positions together.
 
     Parameters
     ----------
     settings : GatewaySettings
-        How many hosts of a failure domain read.
+        Number of readers of a failure domain.
     eras : siskinthread.source_eras.EraWatch
         Eras of the store.
     peers : siskinthread.peer_news.PeerNews
-        Tells whether this host reads for others.
+        Determines whether this host is a reader.
     companion : Dependency
-        Another use of the same store, which shows an outage; hosts that are spared
-        leave it to that to ask then.
+        Another use of the same store, which reveals an outage; hosts that rely on
+        readers leave the retries to it.
     clock : siskinthread.timing.Clock
-        Clock of the times.
+        Clock for ages and deadlines.
 
     Notes
     -----
-    Unlike that of the configuration, the word of readers counts again after a pause
-    without an own read: peers tell of suspected requests themselves at once.
+    Unlike the lease for the configuration, an expired lease is renewed by announcements
+    without an own read: peers also exchange suspected requests directly.
     """
 
     __slots__ = (
@@ -55,25 +55,26 @@
         self._lease = ReaderLease(
             settings, settings.poison.store_wait_s + READ_MARGIN_S, clock, eras
         )
-        # Up to where this host knows the store, and when it was answered last; None if
-        # it was not since readers spared it a read.
+        # Position up to which this host knows the contents of the store, and time of
+        # the store's last answer, monotonic seconds; the time is None if there was none
+        # since this host last skipped a read.
         self._position = None
         self._answered_at_s = None
         self._announced = curio.Event()
         eras.listen(self._announced.set)
 
     def note_read(self, position):
-        """Note that the store has answered up to a position."""
+        """Note that the store was read up to a position."""
         self._position = position
         self._answered_at_s = self._clock.monotonic_s()
 
     def note_lost(self):
-        """Note that the store does not answer, or not at the position any more."""
+        """Note that the store does not answer, or no longer knows the position."""
         self._position = None
         self._answered_at_s = None
 
     def statement(self):
-        """Return the `siskinthread.peer_news.SuspectsReading` to tell, or None."""
+        """Return the `siskinthread.peer_news.SuspectsReading` to announce, or None."""
         if self._answered_at_s is None or self._position is None:
             return None
         if not self._eras.is_comparable(self._position.era):
@@ -82,13 +83,13 @@
         return SuspectsReading(self._position, age_s)
 
     async def hear(self, reading, sender):
-        """Take the `SuspectsReading` of a reader, and its address."""
+        """Process the `SuspectsReading` of a reader at an address."""
         self._lease.note_own_read()
         if self._lease.hear(reading, sender, self._position) is ReadingOutcome.AHEAD:
             await self._announced.set()
 
     async def rest(self):
-        """Rest if readers spare this host a read; return whether they did."""
+        """Wait if this host may skip a read; return whether it may."""
         wait_s = self._lease.left_s()
         if self._awaits_companion():
             wait_s = self._settings.table_word_s
@@ -100,11 +101,14 @@
         return True
 
     def is_to_ask_at_once(self):
-        """Return whether others wait for an answer that this host has not had yet."""
+        """Return whether this host has become a reader without an own answer yet."""
         return self._answered_at_s is None and self._is_reader()
 
     def _awaits_companion(self):
-        """Return whether this host was spared, and there is an outage."""
+        """Return whether an own read is postponed because the companion is in outage.
+
+        Applies to a host that relied on readers.
+        """
         position = self._position
         return (
             position is not None
--- a/siskinthread/gateway/_table.py
+++ b/siskinthread/gateway/_table.py
@@ -1,40 +1,40 @@
-"""What operators publish for the gateway: routes, services, accounts, limits."""
+"""Configuration that operators publish: routes, services, accounts and limits."""
 
 import enum
 
 
 class RequestKind(enum.Enum):
-    """What may be done with a request more than once."""
+    """Whether a request may be repeated, and whether its answer is a stream."""
 
     # May run any number of times.
     IDEMPOTENT = "idempotent"
-    # May run at most once; also the reading of a kind that is not known.
+    # May run at most once; also used for unknown kinds.
     ONCE = "once"
     # A stream of events that must not be started twice.
     STREAM_ONCE = "stream_once"
-    # A stream that another target can continue behind the last event.
+    # A stream that another target can continue after the last event.
     STREAM_RESUMABLE = "stream_resumable"
 
     @property
     def is_stream(self):
-        """Whether its answer is a stream of events."""
+        """Whether the answer is a stream of events."""
         return self in (RequestKind.STREAM_ONCE, RequestKind.STREAM_RESUMABLE)
 
     @property
     def is_repeatable(self):
-        """Whether a request that may have run may be sent once more."""
+        """Whether a request that may already have run may be retried."""
         return self in (RequestKind.IDEMPOTENT, RequestKind.STREAM_RESUMABLE)
 
 
 class ServiceShare:
-    """A part of a route's requests and the service that serves it.
+    """Share of a route's requests that a service serves.
 
     Parameters
     ----------
     service_name : str
         Name of the service.
     weight : float
-        Its weight among the shares of the route.
+        Weight of the share, relative to the other shares of the route.
     """
 
     __slots__ = ("service_name", "weight")
@@ -45,33 +45,34 @@
 
 
 class Route:
-    """Requests of one host and path prefix, and how they are served.
+    """Rules for requests of one host and path prefix.
 
     Parameters
     ----------
     name : str
-        Name that operators gave it.
+        Name that operators have chosen.
     host : str
         Host in lower case, without a port.
     path_prefix : str
         Begins and ends with a slash.
     kind : RequestKind
-        What may be repeated.
+        Whether requests may be repeated.
     shares : list of ServiceShare
-        Services that serve it.
+        Services that serve the route.
     attempt_limit : int
-        Most targets that one request may be sent to.
+        Maximum number of targets that one request may be sent to.
     wait_limit_s : float
-        Longest time until the final answer, seconds.
+        Time-out for the final answer, seconds.
     priority : int
-        Rank among routes, 0 first.
+        Priority among routes; 0 is the highest.
     is_public : bool
-        Whether it is served without a key.
+        Whether requests without an API key are served.
     objective_s : float or None
         Time within which an answer, or the first event of a stream, has its full value
         for the caller, seconds; None if none is published.
     pause_limit_s : float or None
-        Longest pause between events of a stream that is still in time, seconds.
+        Longest pause between two events of a stream that counts as in time, seconds;
+        None if none is published.
     """
 
     __slots__ = (
@@ -115,12 +116,17 @@
         self.pause_limit_s = pause_limit_s
 
     def choose_service(self, draw):
-        """Return the name of the service for one request.
+        """Choose a service at random by the weights of the shares.
 
         Parameters
         ----------
         draw : float
-            Random number from 0 up to 1.
+            Uniform random number in [0, 1).
+
+        Returns
+        -------
+        str
+            Name of the service.
         """
         left = draw * sum(share.weight for share in self.shares)
         for share in self.shares:
@@ -136,9 +142,9 @@
     Parameters
     ----------
     name : str
-        Name that targets are told.
+        Name that is sent to targets.
     priority : int or None
-        Rank that goes before the route's, 0 first.
+        Priority that overrides the route's; 0 is the highest.
     """
 
     __slots__ = ("name", "priority")
@@ -149,20 +155,21 @@
 
 
 class Service:
-    """A group of targets that serve the same requests.
+    """A set of targets that serve the same requests.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the service.
     experts : siskinthread.group_maps.ExpertLayout or None
-        Shape of the expert maps of its targets, if they are ranks of groups.
+        Shape of the expert maps of the targets, if they are ranks of groups.
     tokens : siskinthread.load_control.TokenModel or None
-        Memory of its targets, if it is published.
+        Memory of the targets, if it is published.
     cold_start_s : float
-        How long a target is cold after a start during traffic, seconds.
+        How long a target is cold after a start under traffic, seconds.
     cold_per_s : float
-        Requests a second that a cold target takes; 0 if no rule is published.
+        Rate of requests that a cold target accepts, per second; 0 if no rule is
+        published.
     """
 
     __slots__ = ("cold_per_s", "cold_start_s", "experts", "name", "tokens")
@@ -178,16 +185,16 @@
 
 
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Size limits and time-outs of callers' requests.
 
     Parameters
     ----------
     head_size_limit_bytes, body_size_limit_bytes : int
-        Largest head and body of a request.
+        Maximum size of the head and of the body of a request.
     head_limit_s : float
-        Longest time from the first byte of a head to its end, seconds.
+        Time-out from the first byte of a request head to its end, seconds.
     idle_limit_s : float
-        Longest time that an unused connection stays open, seconds.
+        Time-out of an idle connection, seconds.
     """
 
     __slots__ = (
@@ -207,20 +214,20 @@
 
 
 class RouteTable:
-    """One version of everything that operators publish.
+    """One version of the published configuration.
 
     Parameters
     ----------
     version : int
-        Versions only rise.
+        Version number; increases with each publication.
     routes : list of Route
         All routes.
     services : list of Service
         All services.
     accounts_by_key : dict of str to Account, or None
-        Accounts by API key; None if no request needs a key.
+        Client accounts by API key; None if no request needs a key.
     limits : CallerLimits or None
-        Limits of callers; None leaves the settings' own in force.
+        Limits of callers; None if those of the settings apply.
     """
 
     __slots__ = ("_routes", "accounts_by_key", "limits", "services", "version")
@@ -235,7 +242,7 @@
             self._routes.setdefault(route.host, {})[route.path_prefix] = route
 
     def find_route(self, host, path):
-        """Return the route with the longest prefix that begins a path, or None.
+        """Return the route with the longest matching path prefix, or None.
 
         Parameters
         ----------
@@ -246,8 +253,8 @@
 
         Notes
         -----
-        Every prefix ends with a slash, so only the path's own slashes are tried; the
-        time does not grow with the number of routes.
+        Every prefix ends with a slash, so only the slashes of the path are tried; the
+        time is independent of the number of routes.
         """
         by_prefix = self._routes.get(_bare_host(host))
         if by_prefix is None:
@@ -266,12 +273,12 @@
 
 
 class TableView:
-    """The route table in force; it never goes back to an older version.
+    """The route table in force; it is never replaced by an older version.
 
     Attributes
     ----------
     table : RouteTable or None
-        None until the first one is known.
+        None until the first table is known.
     """
 
     __slots__ = ("_listeners", "table")
@@ -281,22 +288,22 @@
         self._listeners = []
 
     def listen(self, callback):
-        """Call `callback` with each table that comes into force."""
+        """Register a callback that is called with each table that comes into force."""
         self._listeners.append(callback)
 
     def advance(self, table):
-        """Put a table in force unless it is older than the present one.
+        """Put a table in force unless it is not newer than the present one.
 
         Returns
         -------
         bool
-            Whether it is in force now for the first time.
+            Whether the table has come into force.
 
         Notes
         -----
-        Several readers learn of tables, and one of them may be late.  Without the
-        check a request could be served by a route that has been taken away after
-        another one was refused for the same reason.
+        Tables arrive from several readers, possibly out of order.  Without the check,
+        a request could be served by a removed route after another request for that
+        route was already refused.
         """
         if self.table is not None and table.version <= self.table.version:
             return False
--- a/siskinthread/gateway/_table_following.py
+++ b/siskinthread/gateway/_table_following.py
@@ -1,8 +1,9 @@
-"""Following what operators publish.
+"""Following the configuration that operators publish.
 
-The first hosts of each failure domain read it, and tell the others up to where; these
-take what is new from a reader, or read once if none hands it out.  See `ReaderLease`
-for when a host takes the word of readers, and reads for itself.
+The first hosts of each failure domain, its readers, read the source and announce the
+position up to which they have read.  The other hosts fetch changes from a reader, or
+read the source themselves if no reader serves them.  `ReaderLease` determines when a
+host may rely on readers.
 """
 
 import curio
@@ -27,36 +28,37 @@
     ----------
     source : object
         ``async read_newest()`` returns a `RouteTable` or None, and a position;
-        ``async read_changes(position, wait_s)`` the tables behind it, oldest first,
-        and the next position.  Both raise `PlatformUnavailableError`, the latter also
-        `PositionExpiredError`.  Its ``evacuations`` has the evacuated failure domains
-        up to the last position, ``domains``, and those that were taken back in the last
-        read, ``taken_back``.  ``take_told(told)`` takes a `ToldTable`, as if it had
-        been read.
+        ``async read_changes(position, wait_s)`` the tables after that position, oldest
+        first, and the next position.  Both raise `PlatformUnavailableError`, the latter
+        also `PositionExpiredError`.  The attribute ``evacuations`` has the failure
+        domains evacuated at the last position, ``domains``, and those whose evacuation
+        was taken back in the last read, ``taken_back``.  ``take_told(told)`` applies a
+        `ServedTable` as if it had been read.
     view : TableView
         Where tables come into force.
     settings : GatewaySettings
-        Times.
+        Intervals and time-outs.
     clock : siskinthread.timing.Clock
-        Clock of the ages.
+        Clock for ages.
     random : random.Random
-        Spreads what all hosts would do at one moment.
+        Source of the jitter that spreads simultaneous actions of all hosts.
 
     Attributes
     ----------
     dependency : Dependency
         Whether the source answers.
     evacuations : Evacuations or None
-        Told which failure domains are evacuated.
+        Receives the evacuated failure domains.
     peers : siskinthread.peer_news.PeerNews or None
-        Tells whether this host is the first of its failure domain to ask again, and
-        whether it reads for others.
+        Determines whether this host is the first of its failure domain, which retries
+        soonest, and whether it is a reader.
     companion : Dependency or None
-        Another use of the same source, whose next answer ends the wait after a call
-        that failed.
-    fetch_told : callable or None
-        ``async fetch_told(address)`` returns the `ToldTable` of a reader; raises
-        `PlatformUnavailableError`.  None if this host reads what readers tell of.
+        Another use of the same source; its next answer ends the wait after a failed
+        call.
+    fetch_served : callable or None
+        ``async fetch_served(address)`` returns the `ServedTable` of a reader; raises
+        `PlatformUnavailableError`.  If None, this host reads announced changes from
+        the source.
     """
 
     __slots__ = (
@@ -87,12 +89,13 @@
         self._settings = settings
         self._position = None
         self._random = random
-        # Whether the next read must be answered at once.
+        # Whether the next read must be answered without waiting for a change.
         self._is_asked_again = False
         self._woken = curio.Event()
-        # Whether the source has answered this host since readers spared it a read.
+        # Whether the source has answered this host since it last skipped a read.
         self._has_answer = False
-        # Set whenever readers or an era may end the rest of a host that is spared.
+        # Set when an announcement of a reader or a new era may require an action of a
+        # host that skips its own reads.
         self._announced = curio.Event()
         self._lease = None
         self._clock = clock
@@ -104,7 +107,7 @@
         self.dependency = Dependency("published configuration", clock)
 
     async def run(self):
-        """Follow for ever."""
+        """Follow the source until cancelled."""
         while True:
             if await self._follow_readers():
                 continue
@@ -124,15 +127,15 @@
                 self._put_in_force(table)
             await self._note_own_read()
             if outcome:
-                # Changes come in series, and only the newest of them counts.
+                # Changes come in series, and only the newest one matters.
                 await curio.sleep(self._settings.table_pause_s)
 
     async def read_again(self):
-        """Give up a read that may wait in vain, and read at once.
+        """Cancel a pending long poll and read at once.
 
-        Symptom without this: a change came into force 8 s late.  A read that waits for
-        changes reached the source while it answered nothing; the source came back and
-        never answered that read.
+        A long poll that reaches the source in an outage may never be answered, also
+        after the source is back.  Without the cancellation a change came into force
+        8 s late.
         """
         self._is_asked_again = True
         await self._woken.set()
@@ -141,12 +144,12 @@
             await self._reading.cancel(blocking=False)
 
     def watch_eras(self, eras):
-        """Take the word of readers, and read anew when the source comes back older.
+        """Rely on readers, and act when the source was restored to an older state.
 
         Parameters
         ----------
         eras : siskinthread.source_eras.EraWatch
-            Tells of it.
+            Detects such a restore.
         """
         self._eras = eras
         settings = self._settings
@@ -156,12 +159,12 @@
         eras.listen(self._announced.set)
 
     def position(self):
-        """Return up to where this host may tell that it has read, or None."""
+        """Return the position that this host may announce as read, or None."""
         is_told = not self.dependency.is_lost and not self._is_era_over()
         return self._position if is_told else None
 
     def statement(self):
-        """Return what this host tells others as a reader, a `TableReading`, or None."""
+        """Return the `TableReading` that this host announces as a reader, or None."""
         is_reading = self._has_answer and self.position() is not None
         if self._lease is None or not is_reading or not self._reads_for_others():
             return None
@@ -170,36 +173,37 @@
         return TableReading(self._position, version, self.dependency.age_s())
 
     async def hear(self, reading, sender):
-        """Take what a reader of the own failure domain has read.
+        """Process the announcement of a reader of the same failure domain.
 
         Parameters
         ----------
         reading : siskinthread.peer_news.TableReading
-            Up to where, and the age of its last answer.
+            Position that the reader has read up to, and age of the source's last
+            answer.
         sender : siskinthread.settings.Address
-            The reader.
+            Address of the reader.
         """
         if self._lease is None:
             return
         await self._eras.note(reading.position.era, told_by="peer")
-        heard = self._lease.hear(reading, sender, self._position)
-        if heard is ReadingOutcome.CONFIRMED:
+        outcome = self._lease.hear(reading, sender, self._position)
+        if outcome is ReadingOutcome.CONFIRMED:
             self.dependency.confirmed(reading.age_s)
-        elif heard is ReadingOutcome.AHEAD:
+        elif outcome is ReadingOutcome.AHEAD:
             self._apply_evacuations(sender)
             await self._announced.set()
 
     def _apply_evacuations(self, sender):
-        """Take the evacuations of a reader's datagram before the configuration.
+        """Apply the evacuations in a reader's datagram before the configuration.
 
-        Taking the configuration may have to wait for two pauses, 0.8 s in all.
+        Fetching the configuration may be delayed by two pauses, 0.8 s in all.
         """
         state = None if self.peers is None else self.peers.state_of(sender)
         if state is not None and self.evacuations is not None:
             self.evacuations.hear(state.evacuations, str(sender), is_reader=True)
 
     def is_spared(self):
-        """Return whether readers spare this host its own reads at present."""
+        """Return whether this host currently relies on readers, without own reads."""
         return (
             self._lease is not None
             and self._position is not None
@@ -211,11 +215,11 @@
         )
 
     def _awaits_companion(self):
-        """Return whether this host was spared, and its other use shows an outage.
+        """Return whether an own read is postponed because the companion is in outage.
 
-        In an outage readers fall silent.  Without this, each host that they spared
-        began to ask as well: 210 calls of 38 hosts in 5 s, where reads that wait make
-        114.
+        Applies to a host that relied on readers.  Readers fall silent in an outage of
+        the source.  Without this, each host that relied on them began to call the
+        source: 210 calls of 38 hosts in 5 s, compared with 114 by long polls.
         """
         return (
             self._lease is not None
@@ -233,13 +237,13 @@
         return self.peers.is_table_reader(count)
 
     def _reads_for_others(self):
-        """Return whether this host reads, and there are hosts that need not."""
+        """Return whether this host is a reader, and other hosts rely on readers."""
         if self.peers is None or not self._is_reader():
             return False
         return self.peers.near_count() >= self._settings.table_readers_per_domain
 
     def _is_era_over(self):
-        """Return whether the own position says nothing beside one of a peer."""
+        """Return whether the own position can't be compared with those of peers."""
         if self._eras is None or self._position is None:
             return False
         return not self._eras.is_comparable(self._position.era)
@@ -253,16 +257,16 @@
             await self.peers.tell_domain()
 
     async def _follow_readers(self):
-        """Rest, or take what is new from a reader; return whether no read is due."""
+        """Wait for readers or fetch changes from one; return whether no read is due."""
         if self._awaits_companion():
-            # Its next answer has this host read again.
+            # The companion's next answer triggers a read.
             self._announced.clear()
             wait_s = self._settings.source_retry_limit_s
             await curio.ignore_after(wait_s, self._announced.wait)
             return True
         if not self.is_spared():
             return False
-        # What this host tells, should it be a reader next, must be of its own reading.
+        # If this host becomes a reader, it must announce only its own reads.
         self._has_answer = False
         if self._lease.ahead(self._position):
             return await self._fetch_from_reader()
@@ -271,8 +275,9 @@
         return True
 
     async def _fetch_from_reader(self):
-        """Return whether what readers are ahead with could be taken from one."""
-        # Else all hosts of the failure domain would ask the reader that tells first.
+        """Fetch newer configuration from a reader; return whether no read is due."""
+        # Without the spread, all hosts of the failure domain would ask the reader
+        # that announces the change first.
         await curio.sleep(self._settings.table_take_spread_s * self._random.random())
         ahead = self._lease.ahead(self._position)
         if not ahead:
@@ -285,38 +290,39 @@
         if self.fetch_told is None:
             return False
         try:
-            told = await self.fetch_told(sender)
+            served = await self.fetch_told(sender)
         except PlatformUnavailableError as error:
             _logger.event(
-                "configuration is read as no reader hands it out",
+                "configuration is read from the source, as no reader serves it",
                 reader=str(sender),
                 reason=str(error),
             )
             return False
-        is_same_era = told.position.era == self._position.era
-        if not is_same_era or self._is_era_over() or not told.is_as_new_as(reading):
-            _logger.event("reader hands out older configuration", reader=str(sender))
+        is_same_era = served.position.era == self._position.era
+        if not is_same_era or self._is_era_over() or not served.is_as_new_as(reading):
+            _logger.event("reader serves an older configuration", reader=str(sender))
             return False
-        self._apply_served(told, reading, sender)
+        self._apply_served(served, reading, sender)
         # Changes come in series.
         await curio.sleep(self._settings.table_take_pause_s)
         return True
 
-    def _apply_served(self, told, reading, sender):
-        self._position = told.position
-        self._source.take_told(told)
+    def _apply_served(self, served, reading, sender):
+        self._position = served.position
+        self._source.take_told(served)
         self.dependency.confirmed(reading.age_s)
         if self.evacuations is not None:
-            # Before the table, as with own reads.
-            statement = EvacuationStatement(told.position, told.evacuated)
+            # Applied before the table, as in own reads.
+            statement = EvacuationStatement(served.position, served.evacuated)
             self.evacuations.hear(statement, str(sender), is_reader=True)
-        if told.table is not None:
-            self._put_in_force(told.table, str(sender))
+        if served.table is not None:
+            self._put_in_force(served.table, str(sender))
 
     async def _note_failure(self, error):
         if isinstance(error, PlatformUnavailableError):
             self.dependency.failed(error)
-            # One call in each interval is enough to notice that the source is back.
+            # If the companion polls the source, its calls are enough to notice that
+            # the source is back.
             is_awaited = self.companion is not None and self.companion.is_lost
             is_first = self.peers is None or self.peers.is_first_of_domain()
             is_first = is_first and not is_awaited
@@ -332,14 +338,14 @@
     async def _wait_for_turn(self):
         """Let the first host of the failure domain read before the others.
 
-        99 hosts that read 4 MB each at one moment would take the source 5 s
-        (reckoned, at 80 MB a second).
+        Simultaneous reads of 4 MB by 99 hosts would occupy the source for 5 s
+        (calculated, at 80 MB/s).
         """
         if self.peers is not None and not self.peers.is_first_of_domain():
             await curio.sleep(self._settings.reread_spread_s * self._random.random())
 
     async def _read_to_outcome(self):
-        """Return the tables, or the error of the source as a value."""
+        """Return the tables that were read, or the error of the source."""
         try:
             return await self._read()
         except (PlatformUnavailableError, PositionExpiredError) as error:
@@ -350,10 +356,10 @@
             table, self._position = await self._source.read_newest()
             self._note_evacuations()
             return [] if table is None else [table]
-        # A source that has just failed is asked for an answer at once.
+        # After a failure the source must answer without waiting for a change.
         is_urgent = self.dependency.is_lost or self._is_asked_again
         if self._lease is not None and not self._has_answer and self._is_reader():
-            # It tells others nothing until the source has answered it.
+            # It announces nothing to other hosts until the source has answered it.
             is_urgent = True
         wait_s = 0.0 if is_urgent else self._settings.table_wait_s
         tables, self._position = await self._source.read_changes(self._position, wait_s)
@@ -361,12 +367,12 @@
         return tables
 
     def _note_evacuations(self):
-        """Pass on the evacuated failure domains before a table comes into force."""
+        """Apply the evacuations that were read, before a table comes into force."""
         if self.evacuations is None:
             return
-        told = self._source.evacuations
+        evacuations = self._source.evacuations
         self.evacuations.advance(
-            self._position, told.domains, "its source", told.taken_back
+            self._position, evacuations.domains, "its source", evacuations.taken_back
         )
 
     def _put_in_force(self, table, told_by="its source"):
--- a/siskinthread/gateway/_target_following.py
+++ b/siskinthread/gateway/_target_following.py
@@ -1,15 +1,16 @@
-"""Following which targets there are.
+"""Following the list of targets.
 
 Each read of the list is a call to a service that all hosts share, and carries the
-reports of all targets.  So one host of each failure domain reads; the others hear from
-it at which position it has read which digest.  With the same digest they know what it
-knows.  With another one they take the list from it, or read for themselves if it hands
-none out, and as well when they have heard nothing for ``target_age_limit_s``: how old a
-host's list may be does not depend on others.
-
-Of the readers of all failure domains one reads first, and tells the others at once;
-these take a changed list from it, pass its word on in their domains, and read where it
-stays out.
+reports of all targets.  So one host of each failure domain, its reader, reads the list,
+and announces the position and the digest of its reads.  A host with the same digest has
+the same list.  With a different digest, a host fetches the list from the reader, or
+reads the source if the reader does not serve it.  A host also reads the source when its
+list was not confirmed for ``target_age_limit_s``, so that the age of its list is
+bounded independently of other hosts.
+
+One of the readers of all failure domains reads first and notifies the others at once.
+They fetch a changed list from it, forward its announcement in their failure domains,
+and read the source if the announcement fails to arrive.
 """
 
 import curio
@@ -36,17 +37,17 @@
     source : object
         ``async read_all()`` returns the list of `TargetEntry` and a position; ``async
         read_changes(position)`` the list of `TargetChange` and the next position.
-        Both raise like the source of a `TableFollower`.  ``take_told(told)`` takes a
-        `ToldTargets`, as if it had been read.  ``listed`` maps listed ids to the
-        entries at the last position.
+        Both raise the same errors as the source of a `TableFollower`.
+        ``take_told(told)`` applies a `ServedTargets` as if it had been read.
+        ``listed`` maps listed ids to the entries at the last position.
     targets : TargetList
-        Where they are noted.
+        List that is kept up to date.
     settings : GatewaySettings
-        Times.
+        Intervals and time-outs.
     clock : siskinthread.timing.Clock
-        Clock of the ages.
+        Clock for ages.
     eras : siskinthread.source_eras.EraWatch
-        Told the eras that peers tell; a position of an earlier one is not used.
+        Receives the eras that peers state; positions of an earlier era are ignored.
     when_regained : callable
         Coroutine function that is called when the source answers again.
 
@@ -55,13 +56,15 @@
     dependency : Dependency
         Whether the source answers.
     peers : siskinthread.peer_news.PeerNews or None
-        Tells whether this host reads for others, and tells them.
+        Determines whether this host is the reader of its failure domain, and sends its
+        announcements there.
     far_peers : siskinthread.peer_news.PeerNews or None
-        The same with regard to other failure domains; None if each domain reads for
-        itself.
-    fetch_told : callable or None
-        ``async fetch_told(address)`` returns the `ToldTargets` of a reader; raises
-        `PlatformUnavailableError`.  None if this host reads what readers tell of.
+        The same for readers of other failure domains; None if each failure domain
+        reads for itself.
+    fetch_served : callable or None
+        ``async fetch_served(address)`` returns the `ServedTargets` of a reader; raises
+        `PlatformUnavailableError`.  If None, this host reads announced changes from
+        the source.
     """
 
     __slots__ = (
@@ -97,30 +100,32 @@
         self._settings = settings
         self._clock = clock
         self._position = None
-        # The furthest position of a list that this host has gone by.
+        # The furthest position of a list that this host has applied.
         self._furthest = None
-        # Whether a peer's list was taken since the last own read.
+        # Whether a peer's snapshot was applied since the last own read.
         self._took_snapshot = False
-        # Whether the source came back older since the last read.
+        # Whether the source was restored to an older state since the last read.
         self._is_restored = False
         self._digest = ListDigest()
-        # When this host's read of the list began, or one that it passes on the word of.
+        # Start of the read that this host announces, its own or a forwarded one,
+        # monotonic seconds.
         self._confirmed_at_s = None
         self._next_read = Deadline.after(clock, 0.0)
-        # The same, as far as nothing but the last own read has set it.
+        # The value of _next_read that the last own read has set, to tell whether
+        # anything else has set it since.
         self._due_by_own_read = None
         self._woken = curio.Event()
         self.dependency = Dependency("target list", clock)
-        # What a peer has read that this host does not know, if it is to be taken.
+        # Statement of a peer that is ahead of this host, if its list is to be fetched.
         self._wanted_statement = None
-        # The reader of another failure domain that told of it, if one did.
+        # The reader of another failure domain that sent the statement, if any.
         self._wanted_sender = None
         self.peers = None
         self.far_peers = None
         self.fetch_told = None
 
     async def run(self):
-        """Follow for ever."""
+        """Follow the source until cancelled."""
         while True:
             await self._wait_until_due()
             if await self._fetch_from_reader():
@@ -147,21 +152,21 @@
             await self._note_read(began_at_s)
 
     def statement(self):
-        """Return what this host has read or passes on, a `ListStatement` or None."""
+        """Return the `ListStatement` that this host announces or forwards, or None."""
         if self._confirmed_at_s is None or self._position is None:
             return None
         age_s = self._clock.monotonic_s() - self._confirmed_at_s
         return ListStatement(self._position, self._digest.value, age_s)
 
     async def hear_far(self, statement, sender=None):
-        """Take what the reader of another failure domain has read, and pass it on.
+        """Process and forward the announcement of a reader of another failure domain.
 
         Parameters
         ----------
         statement : siskinthread.peer_news.ListStatement
-            Position, digest and age of its read.
+            Position, digest and age of the reader's read.
         sender : siskinthread.settings.Address or None
-            The reader, from which a changed list may be taken.
+            Address of the reader, from which a changed list may be fetched.
         """
         if not await self.hear(statement):
             if self._wanted_statement is statement:
@@ -172,28 +177,29 @@
             await self._forward(confirmed_at_s)
 
     async def hear(self, statement):
-        """Take what a peer has read.
+        """Process the announcement of a peer.
 
         Parameters
         ----------
         statement : siskinthread.peer_news.ListStatement
-            Position, digest and age of its read.
+            Position, digest and age of the peer's read.
 
         Returns
         -------
         bool
-            Whether it confirms this host's list.
+            Whether the statement confirms this host's list.
 
         Notes
         -----
-        A read that is due is made whatever peers say: a process that was stopped for
-        seconds finds news in its socket whose ages no longer hold.
+        A read that is due is made regardless of announcements: a process that was
+        stopped for seconds finds datagrams in its socket whose ages are no longer
+        right.
         """
         await self._eras.note(statement.position.era, told_by="peer")
         if self._position is None or self._next_read.passed():
             return False
         if statement.position.is_of_earlier_era(self._position):
-            # The peer has not noticed yet that the source came back older.
+            # The peer has not noticed yet that the source was restored.
             return False
         if statement.digest == self._digest.value:
             if self._position.is_behind(statement.position):
@@ -210,22 +216,22 @@
         return False
 
     def apply_snapshot(self, snapshot, is_informed, sender):
-        """Take a peer's targets while the source does not answer this host.
+        """Apply a peer's targets while the source does not answer this host.
 
         Parameters
         ----------
         snapshot : Snapshot
-            What the peer knows.
+            Snapshot of the peer.
         is_informed : bool
             Whether the source answers the peer.
         sender : siskinthread.settings.Address
-            The peer.
+            Address of the peer.
 
         Returns
         -------
         bool
-            Whether they were of use: a list that is older than this host's would bring
-            back targets that have left.
+            False if the list was rejected as older than this host's; it would reinstate
+            targets that have left.
         """
         if self.dependency.age_s() is not None and not self.dependency.is_lost:
             return True
@@ -246,7 +252,7 @@
         return True
 
     def _is_new(self, listing):
-        """Return whether a peer's `ListStatement` is not behind what this host knew."""
+        """Return whether a peer's `ListStatement` is not behind this host's list."""
         if listing is None:
             return self._furthest is None
         if self._eras.is_over(listing.position.era):
@@ -255,7 +261,7 @@
         return furthest is None or not listing.position.is_behind(furthest)
 
     async def _fetch_from_reader(self):
-        """Take what a peer has told of from the reader; return whether that worked."""
+        """Fetch an announced list from its reader; return whether it was applied."""
         wanted, self._wanted_statement = self._wanted_statement, None
         far_address, self._wanted_sender = self._wanted_sender, None
         if wanted is None or self.fetch_told is None or self.peers is None:
@@ -266,61 +272,64 @@
         if address is None or self.dependency.is_lost:
             return False
         asked_at_s = self._clock.monotonic_s()
-        told = await self._ask_reader(address, wanted)
-        if told is None:
+        served = await self._ask_reader(address, wanted)
+        if served is None:
             return False
-        # As if it had been old when it was asked for.
-        age_s = told.age_s + self._clock.monotonic_s() - asked_at_s
+        # Assumes that the reader stated the age when the request was sent.
+        age_s = served.age_s + self._clock.monotonic_s() - asked_at_s
         left_s = self._age_limit_s() - age_s
         if left_s <= 0:
             return False
-        self._apply_served(told, age_s, address)
+        self._apply_served(served, age_s, address)
         self._next_read = Deadline.after(self._clock, left_s)
         await self._forward(self._clock.monotonic_s() - age_s)
         return True
 
     async def _ask_reader(self, address, wanted):
-        """Return the `ToldTargets` of a reader, None if they are of no use."""
+        """Return the `ServedTargets` of a reader, None if unavailable or too old."""
         try:
-            told = await self.fetch_told(address)
+            served = await self.fetch_told(address)
         except PlatformUnavailableError as error:
             _logger.event(
-                "target list is read as no reader hands it out",
+                "target list is read from the source, as no reader serves it",
                 reader=str(address),
                 reason=str(error),
             )
             return None
-        if self._is_as_new(told, wanted):
-            return told
+        if self._is_as_new(served, wanted):
+            return served
         _logger.event("reader hands out an older list", reader=str(address))
         return None
 
-    def _apply_served(self, told, age_s, sender):
-        self._position = self._furthest = told.position
-        self._digest.replace(told.entries)
-        self._source.take_told(told)
-        self._targets.replace(told.entries, told_by=f"reader {sender}")
+    def _apply_served(self, served, age_s, sender):
+        self._position = self._furthest = served.position
+        self._digest.replace(served.entries)
+        self._source.take_told(served)
+        self._targets.replace(served.entries, told_by=f"reader {sender}")
         self._targets.note_confirmed(age_s)
 
     async def _forward(self, confirmed_at_s):
-        """Tell the own domain of a read by another one, as its reader."""
+        """Announce another host's read in the own failure domain, if its reader."""
         if self._reads_for_others():
             self._confirmed_at_s = confirmed_at_s
             await self.peers.tell_domain()
 
-    def _is_as_new(self, told, wanted):
-        """Return whether a `ToldTargets` is not behind this host or a peer's word."""
+    def _is_as_new(self, served, wanted):
+        """Return whether a `ServedTargets` is behind neither this host nor `wanted`."""
         position = self._position
         return (
             position is not None
-            and told.position.era == position.era
+            and served.position.era == position.era
             and self._eras.is_comparable(position.era)
-            and not told.position.is_behind(position)
-            and not told.position.is_behind(wanted.position)
+            and not served.position.is_behind(position)
+            and not served.position.is_behind(wanted.position)
         )
 
     async def _era_began(self):
-        """Read soon; hosts that don't read for others may hear that nothing changed."""
+        """Schedule a read in a new era of the source.
+
+        Hosts that are not readers wait, as an announcement may confirm their list.
+        """
         wait_s = 0.0
         if self.peers is not None and not self.peers.is_reader():
             wait_s = self._settings.reread_spread_s
@@ -334,10 +343,11 @@
             await curio.ignore_after(self._next_read.left_s(), self._woken.wait)
 
     def _postpone_own_read(self):
-        """Put an own read off if a reader has been heard of since the last one.
+        """Postpone a due read if this host has since learnt of another reader.
 
-        While a fleet starts, each host takes itself for the reader until it hears of
-        others.  The list gets no older than `target_age_limit_s` all the same.
+        While a fleet starts, each host considers itself the reader until it receives
+        messages of others.  The age of the list still stays below
+        `target_age_limit_s`.
         """
         if self._next_read is not self._due_by_own_read:
             return False
@@ -366,8 +376,8 @@
             return settings.target_age_limit_s
         if self.far_peers is None or self.far_peers.is_first_reader():
             return settings.target_interval_s
-        # Between the two: if the first reader stays out, one host of each failure
-        # domain reads before all others do.
+        # The mean of both limits: if the announcement of the first reader fails to
+        # arrive, the reader of each failure domain reads before the other hosts.
         return (settings.target_interval_s + settings.target_age_limit_s) / 2
 
     def _reads_for_others(self):
@@ -398,16 +408,16 @@
             self._targets.reconcile(self._source.listed.values())
 
     def _note_own_reading(self):
-        """Note an own reading; return whether it is the first after lists of peers."""
+        """Note an own read; return whether it is the first after a peer's snapshot."""
         if self._furthest is not None and self._position.is_behind(self._furthest):
-            # Peers know more than the source has told this host so far.
+            # A peer's list was applied that is newer than this read.
             return False
         self._furthest = self._position
         is_first, self._took_snapshot = self._took_snapshot, False
         return is_first
 
     def _note_end_of_outage(self):
-        """Keep entries that lapsed in an outage for a while after its end."""
+        """Start the grace period for entries that expired in an outage."""
         if self.dependency.is_lost:
             self._targets.note_outage_end()
 
@@ -418,9 +428,9 @@
     Parameters
     ----------
     listed_id : str
-        Id that the target is listed under.
+        Id of the list entry.
     entry : TargetEntry or None
-        Its new entry; None if it is not listed any more.
+        The new entry; None if the target is no longer listed.
     """
 
     __slots__ = ("entry", "listed_id")
--- a/siskinthread/gateway/_target_health.py
+++ b/siskinthread/gateway/_target_health.py
@@ -1,4 +1,4 @@
-"""Which targets are passed over because requests to them failed."""
+"""Ejection of targets to which requests have failed."""
 
 from siskinthread.observability import part_logger
 from siskinthread.timing import Deadline
@@ -7,7 +7,7 @@
 
 
 class _Failures:
-    """Failures of one target without a success between them."""
+    """Consecutive failures of one target."""
 
     __slots__ = ("count", "first_at_s", "ejected_until")
 
@@ -18,20 +18,20 @@
 
 
 class TargetHealth:
-    """Passes over targets that fail, each time for longer.
+    """Ejects failing targets, with exponential back-off.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Times.
+        Durations of ejections.
     clock : siskinthread.timing.Clock
-        Clock of the times.
+        Clock for deadlines.
 
     Notes
     -----
-    A target can fail its requests while its own health answer is good, and the list of
-    targets tells of a crash only after seconds.  Without this, requests would go on
-    being sent to it: it looks idle, because it fails fast.
+    A target can fail its requests while its health check succeeds, and the target list
+    reflects a crash only after seconds.  Without ejection, requests would continue to
+    be sent to such a target: it appears idle, because it fails fast.
     """
 
     __slots__ = ("_clock", "_failures", "_settings")
@@ -42,11 +42,11 @@
         self._failures = {}
 
     def succeeded(self, instance_id):
-        """Note a whole answer."""
+        """Note a complete answer."""
         failures = self._failures.pop(instance_id, None)
         if failures is not None:
             _logger.event(
-                "target trusted again", target=instance_id, after=failures.count
+                "target no longer ejected", target=instance_id, after=failures.count
             )
 
     def failed(self, instance_id, reason):
@@ -54,7 +54,7 @@
         now_s = self._clock.monotonic_s()
         failures = self._failures.setdefault(instance_id, _Failures(now_s))
         if failures.ejected_until is not None and not failures.ejected_until.passed():
-            # Requests that were under way when it failed say nothing new.
+            # Failures of requests that were already in flight give no new evidence.
             return
         failures.count += 1
         settings = self._settings
@@ -71,24 +71,24 @@
         )
 
     def is_passed_over(self, instance_id):
-        """Return whether a target should get no request now."""
+        """Return whether a target is ejected at present."""
         failures = self._failures.get(instance_id)
         return failures is not None and not failures.ejected_until.passed()
 
     def forget_since(self, instance_id, since_s):
-        """Trust a target again all of whose failures are of a time that is over.
+        """End the ejection of a target whose failures are all of a period.
 
         Parameters
         ----------
         instance_id : str
             The target.
         since_s : float
-            When that time began, monotonic seconds.
+            Start of the period, monotonic seconds; it lasts until now.
         """
         failures = self._failures.get(instance_id)
         if failures is not None and failures.first_at_s >= since_s:
             self.succeeded(instance_id)
 
     def forget(self, instance_id):
-        """Drop what is known of a target that is gone."""
+        """Forget the failures of a target."""
         self._failures.pop(instance_id, None)
