--- a/siskinthread/gateway/_target_list.py
+++ b/siskinthread/gateway/_target_list.py
@@ -1,4 +1,4 @@
-"""Which targets there are, and which of them may get requests."""
+"""Known targets, and which of them may get requests."""
 
 from collections import OrderedDict
 
@@ -6,11 +6,11 @@
 from siskinthread.gateway._kept_targets import KeptTargets
 from siskinthread.observability import part_logger
 
-# Targets that are gone and still remembered: all of a fleet of 600 that is replaced
-# within minutes.
+# Number of removed targets that are remembered; enough for a fleet of 600 that is
+# completely replaced within minutes.
 GONE_LIMIT = 1024
 
-# Who told of a change, for the log.
+# Origins of a change, for the log.
 SOURCE = "its source"
 GRACE = "the end of its grace"
 
@@ -23,30 +23,30 @@
     Parameters
     ----------
     instance_id : str
-        Changes with each start of the target, so that nothing that is known of one
-        start is believed of the next.
+        Id of the running instance.  It changes with each start of the target, so that
+        no knowledge of one start is applied to the next.
     service_name : str
-        Service that it belongs to.
+        Service that the target belongs to.
     host, port : str, int
-        IP number and port that it listens on.
+        IP address and port that the target listens on.
     failure_domain : str
-        Where it runs.
+        Failure domain of the target.
     slot_count : int
-        Requests that it runs at once.
+        Number of requests that the target runs concurrently.
     is_leaving : bool
-        Whether it must get no new requests.
+        Whether the target must get no new requests.
     listed_id : str or None
-        Id that it is listed under, which it may have had before it started anew; None
-        if that is the `instance_id`.
+        Id of the list entry, which may be the instance id of an earlier start; None
+        if it is `instance_id`.
     cold_left_s : float
-        For how long it was still cold after its start when it reported, seconds.
+        Remaining cold time after a start, as of the target's report, seconds.
     report_number : int
-        Rises with each report of one start.
+        Sequence number of the report, counted from the start of the instance.
 
     Attributes
     ----------
     record : object or None
-        The same as its source holds it, for whoever asks this host.
+        The same entry in the form of the source, to be served to other hosts.
     """
 
     __slots__ = (
@@ -90,14 +90,14 @@
 
 
 class TargetList:
-    """The targets that are believed to serve.
+    """Targets that are considered available.
 
     Parameters
     ----------
     settings : GatewaySettings
-        How long lapsed entries are kept.
+        Grace periods for expired entries.
     clock : siskinthread.timing.Clock
-        Clock of the waits.
+        Clock for grace periods and ages.
 
     Attributes
     ----------
@@ -106,7 +106,8 @@
 
     Notes
     -----
-    Entries that vanish around an outage are kept for a while; see `KeptTargets`.
+    Entries that vanish around an outage of the source are kept for a grace period; see
+    `KeptTargets`.
     """
 
     __slots__ = (
@@ -129,64 +130,64 @@
         self._settings = settings
         self._clock = clock
         self._entries = {}
-        # The instance that each listed id stands for.
+        # Instance ids by listed id.
         self._listed = {}
-        # Those that vanished, and still count.
+        # Targets that vanished from the list but are still available.
         self._kept = KeptTargets(settings, clock)
         self._departures = Departures(settings, clock)
-        # Instances whose targets have started anew; a late report of an earlier start
-        # must not displace the later one.
+        # Earlier instances of restarted targets; a late report of an earlier start must
+        # not displace the present instance.
         self._replaced = set()
-        # Instances that were dropped from the list, the latest last, and whether by a
-        # peer's word; an older copy of the list must not bring them back.
+        # Removed instances, the most recent last, and whether a peer's list caused the
+        # removal; an older copy of the list must not reinstate them.
         self._gone = OrderedDict()
         self._confirmed_at_s = None
         self._listeners = []
         self._put_listeners = []
-        # Whether a whole list has been read.
+        # Whether a complete list has been processed.
         self._has_first = False
         self.evacuated_domains = frozenset
 
     def listen(self, callback):
-        """Call `callback` with a `TargetEntry` that must get no more requests."""
+        """Register a callback for each `TargetEntry` that must get no more requests."""
         self._listeners.append(callback)
 
     def listen_to_entries(self, callback):
-        """Call `callback` with each `TargetEntry` that is taken in.
+        """Register a callback for each `TargetEntry` that is added or updated.
 
-        Its second argument tells whether the target is new since the first list.
+        Its second argument is whether the target has appeared after the first list.
         """
         self._put_listeners.append(callback)
 
     def note_confirmed(self, age_s=0.0):
-        """Note that the list was as its source has it so many seconds ago."""
+        """Note that the list agreed with the source `age_s` seconds ago."""
         confirmed_at_s = self._clock.monotonic_s() - age_s
         if self._confirmed_at_s is None or confirmed_at_s > self._confirmed_at_s:
             self._confirmed_at_s = confirmed_at_s
 
     def age_s(self):
-        """Return the seconds since the list was confirmed, None before that."""
+        """Return the time since the list was confirmed, seconds; None if never."""
         if self._confirmed_at_s is None:
             return None
         return self._clock.monotonic_s() - self._confirmed_at_s
 
     def note_failed_call(self, began_at_s):
-        """Note that the source of the entries has not answered a call."""
+        """Note a call that the source did not answer."""
         self._kept.note_failed_call(began_at_s)
 
     def note_outage_end(self):
-        """Note that an outage of the source of the entries ends at this moment."""
+        """Note that an outage of the source has just ended."""
         self._kept.note_outage_end()
 
     def put(self, entry, told_by=SOURCE):
-        """Take an entry in, or its newer state.
+        """Add or update an entry.
 
         Parameters
         ----------
         entry : TargetEntry
             The entry.
         told_by : str
-            Who told of it, for the log.
+            Origin of the entry, for the log.
         """
         self._kept.discard(entry.instance_id)
         self._add(entry, told_by)
@@ -220,7 +221,7 @@
             self._notify(entry)
 
     def vanish(self, listed_id, told_by=SOURCE):
-        """Note that an entry is not listed any more."""
+        """Remove an entry that is no longer listed, or keep it around an outage."""
         instance_id = self._listed.get(listed_id)
         entry = self._entries.get(instance_id)
         if entry is None or instance_id in self._kept:
@@ -239,20 +240,20 @@
     def replace(
         self, entries, is_authoritative=False, told_by=SOURCE, kept_left_s=None
     ):
-        """Take the whole list: what is not in it has vanished.
+        """Apply a complete list; entries that it lacks have vanished.
 
         Parameters
         ----------
         entries : list of TargetEntry
             The list.
         is_authoritative : bool
-            Whether it comes from a peer that has seen the source itself, so that an
-            outage of this process's own path to it does not matter.
+            Whether the list comes from a peer that the source answers, so that an
+            outage of the path from this process to the source is irrelevant.
         told_by : str
-            Who told the list, for the log.
+            Origin of the list, for the log.
         kept_left_s : dict of str to float or None
-            Listed ids of those that have vanished from the teller's list, and for how
-            long it keeps them still, seconds.
+            Listed ids of targets that the sender keeps after they have vanished from
+            its list, with the remaining times, seconds.
         """
         kept_left_s = {} if kept_left_s is None else kept_left_s
         present = set()
@@ -283,15 +284,15 @@
         self._has_first = True
 
     def without_gone(self, entries, kept_ids):
-        """Return a peer's targets without those that this process knows to be gone.
+        """Return a peer's targets without those that this process has removed.
 
         Parameters
         ----------
         entries : list of TargetEntry
             The peer's targets.
         kept_ids : collection of str
-            Listed ids of those that the peer keeps only because they vanished around
-            an outage; it can't tell which of them have left.
+            Listed ids of targets that the peer keeps only because they vanished around
+            an outage; the peer can't know which of them have left.
         """
         held = [
             one
@@ -300,15 +301,15 @@
         ]
         if held:
             ids = sorted(one.instance_id for one in held)
-            _logger.event("targets are held against a peer's list", targets=ids)
+            _logger.event("removed targets of a peer's list ignored", targets=ids)
         return [one for one in entries if one not in held]
 
     def kept_ids(self):
-        """Return the listed ids of targets that vanished and are kept for a while."""
+        """Return the listed ids of targets that vanished and are kept."""
         return set(self.kept_left_s())
 
     def kept_left_s(self):
-        """Return for how long targets that vanished are kept, by listed id, seconds."""
+        """Return the remaining times of kept targets by listed id, seconds."""
         self.expire_kept()
         return {
             self._entries[one].listed_id: self._kept.left_s(one)
@@ -316,24 +317,24 @@
         }
 
     def reconcile(self, entries):
-        """Go by the own source again after lists of peers have been taken.
+        """Apply the own source's list after lists of peers have been applied.
 
         Parameters
         ----------
         entries : iterable of TargetEntry
-            All that the source lists at the position that was read last.
+            All entries that the source lists at the position that was read last.
         """
         listed = {entry.instance_id: entry for entry in entries}
         for entry in list(self._entries.values()):
             if entry.instance_id not in listed:
                 self.vanish(entry.listed_id)
         for instance_id, entry in listed.items():
-            # What this host itself has seen dropped must report again.
+            # Targets that this host itself has removed must report again first.
             if instance_id not in self._entries and self._gone.get(instance_id, True):
                 self.put(entry)
 
     def replace_by_older(self, entries):
-        """Take a list whose source has come back older than it was.
+        """Apply the list of a source that was restored to an older state.
 
         Parameters
         ----------
@@ -342,10 +343,10 @@
 
         Notes
         -----
-        It lacks targets that were listed since the copy was made, which get the time
-        to report again, and has some that were dropped since.  Those get no requests
-        until they have reported again: a request that reached one long after its
-        leaving was acknowledged would show it.
+        The list lacks targets that were added after the backup; they are kept for a
+        grace period to report again.  It includes targets that were removed after the
+        backup; they get no requests until they report again.  Otherwise a target could
+        get requests long after its departure was acknowledged.
         """
         self.note_outage_end()
         held = [one for one in entries if one.instance_id in self._gone]
@@ -355,14 +356,14 @@
         self.replace([one for one in entries if one not in held])
 
     def note_leaving(self, instance_id, told_by):
-        """Note that a target itself has said that it leaves.
+        """Note that a target has announced that it leaves.
 
         Parameters
         ----------
         instance_id : str
             The target.
         told_by : str
-            What said so, for the log.
+            Origin of the announcement, for the log.
         """
         if instance_id in self._departures:
             return
@@ -374,23 +375,23 @@
             self._notify(entry)
 
     def note_says_leaving(self, instance_id):
-        """Note that an answer of a target says that it leaves."""
+        """Note that a target has announced in an answer that it leaves."""
         self._departures.note_announced(instance_id)
         self.note_leaving(instance_id, "its answer")
 
     def hear_leaving(self, statements, told_by):
-        """Take each `LeavingStatement` of a peer."""
+        """Note each `LeavingStatement` of a peer."""
         for instance_id in self._departures.take_new(statements):
             self.note_leaving(instance_id, told_by)
 
     def leaving_statements(self):
-        """Return what peers should be told, a list of `LeavingStatement`."""
+        """Return the list of `LeavingStatement` to send to peers."""
         return self._departures.statements()
 
     def expire_kept(self):
-        """Remove kept entries that did not come back in time."""
+        """Remove kept entries whose deadline has passed."""
         for instance_id in self._kept.expired():
-            # Whoever is told of one may look at the list, which ends others.
+            # The listener of a removal may query the list, which removes others.
             if instance_id in self._kept:
                 self._remove(self._entries[instance_id], GRACE)
 
@@ -404,17 +405,20 @@
         ]
 
     def is_evacuated(self, service_name):
-        """Return whether a service has targets, all of them in evacuated domains."""
+        """Return whether all targets of a service are in evacuated domains.
+
+        False for a service without targets.
+        """
         evacuated = self.evacuated_domains()
         domains = {one.failure_domain for one in self._not_leaving(service_name)}
         return bool(domains) and domains <= evacuated
 
     def has_left(self, instance_id):
-        """Return whether a target has said that it leaves."""
+        """Return whether a target has announced that it leaves."""
         return instance_id in self._departures
 
     def is_serving(self, instance_id):
-        """Return whether a target is listed and has not said that it leaves."""
+        """Return whether a target is available and has not announced that it leaves."""
         self.expire_kept()
         entry = self._entries.get(instance_id)
         return entry is not None and not entry.is_leaving
@@ -433,7 +437,7 @@
         ]
 
     def _note_restart(self, entry):
-        """Remove the instance that an entry's target was before it started anew."""
+        """Remove the earlier instance of a target that has restarted."""
         earlier_id = self._listed.get(entry.listed_id, entry.instance_id)
         if earlier_id != entry.instance_id and earlier_id in self._entries:
             _logger.event(
--- a/siskinthread/gateway/_target_loads.py
+++ b/siskinthread/gateway/_target_loads.py
@@ -1,17 +1,17 @@
-"""How many requests each target has, as far as this entry knows."""
+"""Number of requests at each target, as far as this entry knows."""
 
 import contextlib
 from collections import deque
 
 from siskinthread.timing import Deadline
 
-# Span over which this entry's own rate of requests is taken. Some three requests a
-# second come to each entry; a rate from fewer than six would jump.
+# Window over which this entry's own rate of requests is determined. Each entry gets
+# about three requests per second; a rate from fewer than six requests would fluctuate.
 RATE_SPAN_S = 2.0
 
 
 class _Reported:
-    """Load that a target stated, and until when it counts."""
+    """Requests of other entries according to a target's report, and its expiry."""
 
     __slots__ = ("expiry", "others")
 
@@ -21,25 +21,25 @@
 
 
 class TargetLoads:
-    """Requests at each target: this entry's exactly, others' as last heard.
+    """Requests at each target: exact for this entry, as last reported for others.
 
     Parameters
     ----------
     settings : GatewaySettings
-        How long a report counts.
+        How long a load report is valid.
     clock : siskinthread.timing.Clock
-        Clock of the ages.
+        Clock for ages and deadlines.
 
     Attributes
     ----------
     peers : siskinthread.peer_news.PeerNews or None
-        Tells other entries' requests.  Without news of any, the targets' own reports
-        count.
+        Requests of other entries.  Without recent messages of peers, the load reports
+        of the targets are used.
 
     Notes
     -----
-    Each answer states the load of its target.  What exceeds this entry's own requests
-    belongs to other entries.
+    Each answer states the load of its target.  The excess over this entry's own
+    requests is attributed to other entries.
     """
 
     __slots__ = (
@@ -60,18 +60,18 @@
         self._cached_peers_report = False
         self._own = {}
         self._reported = {}
-        # When own requests began, monotonic seconds, oldest first.
+        # Start times of own requests, monotonic seconds, oldest first.
         self._starts_s = deque()
         self.peers = None
 
     def started(self, instance_id):
-        """Count a request as sent to a target."""
+        """Note that a request was sent to a target."""
         self._own[instance_id] = self._own.get(instance_id, 0) + 1
         self._starts_s.append(self._clock.monotonic_s())
         self._drop_old_starts()
 
     def ended(self, instance_id):
-        """Count a request as over."""
+        """Note that a request to a target has ended."""
         left = self._own[instance_id] - 1
         if left:
             self._own[instance_id] = left
@@ -79,7 +79,7 @@
             del self._own[instance_id]
 
     def report(self, instance_id, load):
-        """Take the `LoadReport` that came with an answer."""
+        """Process the `LoadReport` in an answer of a target."""
         others = max(0, load.running + load.waiting - self.own(instance_id))
         expiry = Deadline.after(self._clock, self._settings.load_report_limit_s)
         self._reported[instance_id] = _Reported(others, expiry)
@@ -94,9 +94,9 @@
 
     @contextlib.contextmanager
     def held(self):
-        """Keep each total for the length of a block in which no time passes.
+        """Cache the totals in a block that does not await.
 
-        A choice asks for the total of each of some hundred targets several times.
+        The choice of a target needs the totals of some hundred targets several times.
         """
         self._cached_totals = {}
         self._cached_peers_report = self._peers_report_loads()
@@ -106,7 +106,7 @@
             self._cached_totals = None
 
     def total(self, instance_id):
-        """Return the number of requests that a target is believed to have."""
+        """Return the estimated number of requests at a target."""
         if self._cached_totals is None:
             return self._total(instance_id, self._peers_report_loads())
         total = self._cached_totals.get(instance_id)
@@ -128,10 +128,10 @@
         return own + reported.others
 
     def unseen_count(self):
-        """Return how many requests peers have begun that this entry can't know of yet.
+        """Return the estimated number of peers' requests that are not yet reported.
 
-        Reckoned from its own rate, as callers are spread over all entries, and from
-        the mean age of what peers have told.
+        Calculated from this entry's own rate, as callers are spread over all entries,
+        and the mean age of the messages of peers.
         """
         if self.peers is None or not self.peers.has_fresh_loads():
             return 0.0
@@ -139,18 +139,21 @@
         return self._own_per_s() * self.peers.sharing_count() * mean_age_s
 
     def fleet_per_s(self):
-        """Return the requests a second of this entry and its peers, from its own."""
+        """Return the rate of requests of all entries, per second.
+
+        Extrapolated from the rate of this entry.
+        """
         host_count = 1
         if self._peers_report_loads():
             host_count += self.peers.sharing_count()
         return self._own_per_s() * host_count
 
     def are_peers_crowded(self):
-        """Return whether only near peers tell of their requests soon."""
+        """Return whether only peers of the same failure domain report promptly."""
         return self.peers is not None and self.peers.is_crowded()
 
     def source(self):
-        """Return what others' requests are known by, for the log."""
+        """Return the source of the requests of other entries, for the log."""
         if self._peers_report_loads():
             return "peers"
         return "the targets' own reports"
@@ -165,5 +168,5 @@
             self._starts_s.popleft()
 
     def forget(self, instance_id):
-        """Drop what is known of a target that is gone."""
+        """Forget the load report of a target that is gone."""
         self._reported.pop(instance_id, None)
--- a/siskinthread/gateway/tests/test_avoided_targets.py
+++ b/siskinthread/gateway/tests/test_avoided_targets.py
@@ -1,4 +1,4 @@
-"""Targets that get a request only if no other one can take it."""
+"""Targets that get a request only if no other target can serve it."""
 
 import pytest
 
@@ -11,13 +11,13 @@
 
 
 def build():
-    """Return what is avoided, and its clock."""
+    """Return an `AvoidedTargets`, and its clock."""
     now = clock()
     return AvoidedTargets(SETTINGS, now), now
 
 
 def avoided_s(avoided, now):
-    """Return how long the first target is avoided from now on."""
+    """Return for how long the first target is avoided from now on, seconds."""
     waited_s = 0.0
     while "i-1" not in ids(avoided.without(ENTRIES)):
         now.advance(STEP_S)
@@ -26,7 +26,7 @@
 
 
 def test_target_that_declines_again_is_avoided_for_longer():
-    """A target that declined at once got each next request, as it looked idle."""
+    """Guards against sending each request to a target that declines and looks idle."""
     avoided, now = build()
     waits_s = []
     for _ in range(5):
@@ -35,8 +35,8 @@
     assert waits_s == pytest.approx([0.2, 0.4, 0.8, 1.6, 1.6], abs=1.1 * STEP_S)
 
 
-def test_declines_of_requests_that_were_under_way_count_once():
-    """Five requests at a full target took it out for longer than one."""
+def test_declines_of_requests_in_flight_count_once():
+    """Guards against avoiding a full target for longer after five requests than one."""
     avoided, now = build()
     for _ in range(5):
         avoided.declined("i-1")
@@ -44,22 +44,22 @@
 
 
 def test_answer_ends_the_declines():
-    """A target that serves again is like any other one."""
+    """A target that answers is no longer avoided."""
     avoided, _ = build()
     avoided.declined("i-1")
     avoided.answered("i-1")
     assert avoided.without(ENTRIES) == ENTRIES
 
 
-def test_backoff_that_a_peer_tells_of_is_awaited_with_a_margin():
-    """All entries tried a target at the end of a back-off that one was asked for."""
+def test_backoff_requested_of_a_peer_is_observed_with_a_margin():
+    """Guards against all entries trying a target at the end of one entry's back-off."""
     avoided, now = build()
     avoided.hear([BackoffStatement("i-1", 1.0)], "peer")
     assert avoided_s(avoided, now) == pytest.approx(1.3, abs=1.1 * STEP_S)
 
 
-def test_what_is_avoided_is_forgotten():
-    """Targets of months ago take no memory."""
+def test_declines_and_backoffs_are_forgotten():
+    """Guards against memory that grows with each target over months."""
     avoided, now = build()
     avoided.declined("i-1")
     avoided.hear([BackoffStatement("i-2", 1.0)], "peer")
--- a/siskinthread/gateway/tests/test_control_failover.py
+++ b/siskinthread/gateway/tests/test_control_failover.py
@@ -1,4 +1,4 @@
-"""How long a group is without a controller when its controller ends or falls silent."""
+"""How long a group is without a controller when its controller ends or is silent."""
 
 import random
 
@@ -36,13 +36,13 @@
 
 
 class FakeStore:
-    """Deals shares out to members, until they leave or their time has passed."""
+    """Divides shares among members, until they leave or their leases expire."""
 
     def __init__(self):
         self._members = {}
 
     def join(self, name):
-        """Return the shares of a member that stays."""
+        """Renew the lease of a member, and return its shares."""
         lapse_s = MAP_SETTINGS.share_lapse_s
         self._members[name] = Deadline.after(SYSTEM_CLOCK, lapse_s)
         names = sorted(one for one, end in self._members.items() if not end.passed())
@@ -50,12 +50,12 @@
         return Shares(set(range(number, SHARE_COUNT, len(names))), SHARE_COUNT)
 
     def leave(self, name):
-        """Let a member go."""
+        """Remove a member."""
         self._members.pop(name, None)
 
 
 class StoreMember:
-    """One host at the store."""
+    """A host's client of the store."""
 
     def __init__(self, store, name):
         self._store = store
@@ -63,13 +63,13 @@
         self.is_cut_off = False
 
     async def renew(self):
-        """Return the shares."""
+        """Renew the lease, and return the shares."""
         if self.is_cut_off:
             raise PlatformUnavailableError("cut off")
         return self._store.join(self._name)
 
     async def leave(self):
-        """Give the shares up."""
+        """Release the shares."""
         self._store.leave(self._name)
 
 
@@ -127,7 +127,7 @@
         return bool(self.duty.controlled_groups())
 
     async def start(self):
-        """Begin all tasks."""
+        """Start all tasks."""
         await self.directory.refresh([Entry(f"i-{one}") for one in range(RANKS)])
         self.tasks = [
             await curio.spawn(run, daemon=True)
@@ -135,29 +135,36 @@
         ]
 
     async def stop(self):
-        """End all tasks, as if killed."""
+        """Cancel all tasks, as if the host was killed."""
         for task in self.tasks:
             await task.cancel()
 
 
 async def kill(host):
-    """End a host, or freeze it: others see the same of either."""
+    """Kill or stop a host; other hosts can't distinguish the two."""
     await host.stop()
 
 
 async def cut_off(host):
-    """Let a host reach neither the others nor the store, and go on controlling."""
+    """Partition a host from its peers and the store while it continues to control."""
     host.member.is_cut_off = True
     await host.tasks[0].cancel()
 
 
 async def drain(host):
-    """Begin a planned stop."""
+    """Begin a drain."""
     host.context.draining = True
 
 
 async def takeover_s(end, phase_s):
-    """Return the seconds until another host controls the group, and the group."""
+    """Measure the time until another host controls the group.
+
+    Returns
+    -------
+    tuple of float, int, object
+        Time, seconds, number of other hosts that control the group at the end, and
+        passes of the group with mixed maps.
+    """
     group, store = FakeGroup(RANKS), FakeStore()
     addresses = free_addresses(HOSTS)
     hosts = [
@@ -175,7 +182,7 @@
         while not any(host.controls for host in others):
             await curio.sleep(0.01)
     took_s = SYSTEM_CLOCK.monotonic_s() - ended_at_s
-    # The store has dealt the shares anew by then.
+    # By then, the store has redistributed the shares.
     await curio.sleep(MAP_SETTINGS.share_lapse_s + MAP_SETTINGS.renew_interval_s)
     count = sum(host.controls for host in others)
     for host in hosts:
@@ -185,10 +192,10 @@
 
 @pytest.mark.parametrize("end", [kill, cut_off, drain])
 def test_group_has_another_controller_within_two_seconds(end):
-    """Symptom: the map of a group does not change for 4 s while demand shifts.
+    """Guards against an expert map that does not follow shifts of demand for 4 s.
 
-    Events: the host that controls it ends, is frozen or cut off, or drains.  Cause: its
-    shares passed on only when they lapsed.
+    The controlling host ends, is stopped or partitioned, or drains; its shares were
+    reassigned only after its lease had expired.
     """
 
     async def main():
--- a/siskinthread/gateway/tests/test_control_home.py
+++ b/siskinthread/gateway/tests/test_control_home.py
@@ -1,11 +1,11 @@
-"""From which failure domain a group is controlled."""
+"""Failure domain from which a group is controlled."""
 
 from siskinthread.gateway._control_home import ControlHome
 from siskinthread.gateway.tests.parts import SETTINGS
 
 
 class FakePeers:
-    """Tells of which failure domains there was news."""
+    """Peers in given failure domains."""
 
     def __init__(self, *domains):
         self._domains = set(domains)
@@ -16,14 +16,14 @@
 
 
 def build(domain, *heard):
-    """Return the control home of an entry that hears of some failure domains."""
+    """Return the `ControlHome` of an entry with peers in given failure domains."""
     home = ControlHome(SETTINGS, domain, None, None, None, None)
     home.peers = FakePeers(*heard)
     return home
 
 
 def test_one_domain_is_the_home_of_a_group():
-    """That with most ranks; ties are broken alike everywhere."""
+    """The home is the domain with most ranks; all entries break ties alike."""
     domains = ("a", "b", "c")
     for ranks, home in (("aab", "a"), ("abcc", "c"), ("abcabc", None)):
         homes = [one for one in domains if build(one, *domains).is_home("g", ranks)]
@@ -31,8 +31,8 @@
         assert home in (None, homes[0])
 
 
-def test_homes_of_groups_that_are_everywhere_differ():
-    """Symptom: one failure domain controls all groups."""
+def test_homes_of_evenly_spread_groups_differ():
+    """Guards against one failure domain that controls all groups."""
     domains = ("a", "b", "c")
     homes = {
         one
@@ -44,9 +44,9 @@
 
 
 def test_domain_without_entries_is_no_home():
-    """Symptom: nobody controls a group.
+    """Guards against a group without a controller.
 
-    Events: all entries beside most of its ranks are gone, or cut off.
+    All entries in the domain with most of its ranks are gone, or partitioned.
     """
     assert build("b", "b", "c").is_home("g", "aaab")
     assert not build("c", "b", "c").is_home("g", "aaab")
--- a/siskinthread/gateway/tests/test_domain_reachability.py
+++ b/siskinthread/gateway/tests/test_domain_reachability.py
@@ -1,4 +1,4 @@
-"""Failure domains that can't be reached get no requests, and get them again soon."""
+"""Unreachable failure domains get no requests until they are reachable again."""
 
 import random
 import socket
@@ -23,7 +23,7 @@
 
 
 def test_requests_stop_at_a_partition_instead_of_at_each_target():
-    """Guards against a time-out of a request for each target behind a partition."""
+    """Guards against a connect time-out for each target behind a partition."""
     reachability = DomainReachability(SETTINGS, clock())
     targets = [far(number) for number in range(24)]
     timed_out_count = 0
@@ -36,7 +36,7 @@
 
 
 def test_failure_domain_with_some_unreachable_targets_stays_in_use():
-    """Guards against a domain that gets no request for a few targets without power."""
+    """Guards against excluding a domain because of a few targets without power."""
     reachability = DomainReachability(SETTINGS, clock())
     for number in range(20):
         reachability.note_unreachable(far(number), 24)
@@ -44,8 +44,8 @@
     assert not reachability.is_cut_off("b")
 
 
-def test_failures_of_long_ago_do_not_add_up():
-    """Guards against a domain that is given up for single failures minutes apart."""
+def test_old_failures_do_not_accumulate():
+    """Guards against excluding a domain for single failures that are far apart."""
     now = clock()
     reachability = DomainReachability(SETTINGS, now)
     for number in range(20):
@@ -54,8 +54,8 @@
     assert not reachability.is_cut_off("b")
 
 
-def test_first_failure_calls_for_a_check():
-    """Guards against requests that find out one by one what a check shows at once."""
+def test_first_failure_schedules_a_check():
+    """Guards against detecting a partition only by the time-outs of requests."""
     now = clock()
     reachability = DomainReachability(SETTINGS, now)
     assert reachability.next_check_s() is None
@@ -65,8 +65,8 @@
     assert reachability.next_check_s() == SETTINGS.reachability_check_s
 
 
-def test_only_the_failure_domain_behind_the_partition_is_left_out():
-    """Guards against a partition that takes targets elsewhere out of use."""
+def test_only_the_failure_domain_behind_the_partition_is_excluded():
+    """Guards against excluding targets of other failure domains."""
     reachability = DomainReachability(SETTINGS, clock())
     near = entry("i-a1")
     for number in range(3):
@@ -75,7 +75,7 @@
 
 
 def test_failure_domain_is_used_again_after_a_check():
-    """Guards against targets that stay passed over after the end of a partition."""
+    """Guards against targets that stay ejected after the end of a partition."""
 
     async def main():
         listener = curio.network.tcp_server_socket(LOOPBACK, 0, backlog=8)
@@ -96,7 +96,7 @@
 
 
 def test_checks_show_a_partition_after_one_failed_request():
-    """Guards against several callers who wait for the same partition."""
+    """Guards against several requests that are delayed by the same partition."""
 
     async def main():
         with socket.socket() as unused:
--- a/siskinthread/gateway/tests/test_evacuations.py
+++ b/siskinthread/gateway/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Which failure domains are evacuated, by the positions of those who tell."""
+"""Evacuated failure domains, by the positions of reads and of peers' statements."""
 
 import random
 
@@ -19,7 +19,7 @@
 
 
 class Host:
-    """One host's evacuations, under a clock of the test."""
+    """The evacuations of one host, with a clock that the test advances."""
 
     def __init__(self, time=None):
         self.clock = clock() if time is None else time
@@ -28,21 +28,21 @@
         self.evacuations.listen(lambda *change: self.changes.append(change))
 
     def read(self, offset, *domains, era=1, taken_back=()):
-        """Read the source itself."""
+        """Process a read of the source."""
         self.evacuations.advance(Position(era, offset), domains, "test", taken_back)
 
     def hear(self, offset, *domains, era=1, **ages_s):
-        """Hear of a state from a peer."""
-        told = EvacuationStatement(Position(era, offset), domains, **ages_s)
-        self.evacuations.hear(told, "peer")
+        """Process the statement of a peer."""
+        statement = EvacuationStatement(Position(era, offset), domains, **ages_s)
+        self.evacuations.hear(statement, "peer")
 
     def domains(self):
-        """Return the evacuated domains in order."""
+        """Return the sorted names of the evacuated domains as one string."""
         return "".join(sorted(self.evacuations.domains()))
 
 
-def test_highest_position_wins_in_any_order_of_hearing():
-    """Symptom: a late datagram takes back a domain, or evacuates one again."""
+def test_highest_position_wins_in_any_order_of_arrival():
+    """Guards against late datagrams that end an evacuation, or begin it again."""
     states = [(1, ""), (2, "a"), (3, "ab"), (4, "b"), (5, "ab"), (6, "a"), (7, "c")]
     for seed in range(ROUNDS):
         draw = random.Random(seed)
@@ -55,8 +55,8 @@
             assert host.domains() == dict(states)[highest]
 
 
-def test_changes_are_told_once():
-    """Symptom: who waits for a domain is woken by each datagram, or never."""
+def test_listeners_are_notified_once_of_each_change():
+    """Guards against a notification for each datagram, or none."""
     host = Host()
     host.read(1, "a")
     host.read(2, "a")
@@ -65,8 +65,8 @@
     assert host.changes == [("a", True), ("b", True), ("a", False), ("b", False)]
 
 
-def test_time_since_a_domain_was_taken_back():
-    """Symptom: targets that are cold after an evacuation count as warm."""
+def test_time_since_the_end_of_an_evacuation():
+    """Guards against treating targets as warm that are cold after an evacuation."""
     host = Host()
     host.read(1, "a")
     assert host.evacuations.taken_back_s_ago("a") is None
@@ -83,8 +83,8 @@
     assert host.evacuations.taken_back_s_ago("a") is None
 
 
-def test_restored_source_without_a_domain_keeps_it_evacuated_for_a_while():
-    """Symptom: requests reach an evacuated domain since the store lost the record."""
+def test_domain_stays_evacuated_for_some_time_over_a_restore_of_the_source():
+    """Guards against requests to an evacuated domain whose record the store lost."""
     host = Host()
     host.read(9, "a", "b")
     host.read(5, "b", era=2)
@@ -97,22 +97,22 @@
     assert host.changes[-1] == ("a", False)
 
 
-def test_domain_that_is_kept_over_a_restore_can_be_taken_back():
-    """Symptom: a domain that the operator takes back is used 30 s later.
+def test_domain_that_is_kept_over_a_restore_can_be_released():
+    """Guards against using a domain only 30 s after the end of its evacuation.
 
-    Events: the record that evacuates it was lost, so that dropping it changes no state.
+    The record of the evacuation was lost, so that removing it changes no state.
     """
-    for taken_back_by_peer in (False, True):
+    for is_released_by_peer in (False, True):
         host = Host()
         host.read(9, "a")
         host.read(5, era=2)
         host.clock.advance(1.0)
-        if taken_back_by_peer:
+        if is_released_by_peer:
             host.hear(6, era=2, released_s={"a": 0.1})
         else:
             host.read(6, era=2, taken_back=["a"])
         assert host.domains() == ""
-        # A peer that has noticed the restore later keeps it for longer.
+        # A peer that has noticed the restore later keeps the domain longer.
         host.hear(5, era=2, kept_s={"a": 0.5})
         assert host.domains() == ""
         host.read(7, "a", era=2)
@@ -120,7 +120,7 @@
 
 
 def test_host_that_starts_after_a_restore_learns_what_is_kept():
-    """Symptom: a new host alone sends requests to a domain that others keep out of."""
+    """Guards against a new host that sends requests to a domain that others avoid."""
     old, new = Host(), Host()
     old.read(9, "a")
     old.read(5, era=2)
@@ -132,8 +132,8 @@
     assert new.domains() == ""
 
 
-def test_take_back_before_a_restore_does_not_end_an_evacuation_after_it():
-    """Symptom: a peer that missed an evacuation and a restore ends it for all."""
+def test_end_before_a_restore_does_not_end_an_evacuation_after_it():
+    """Guards against a peer that missed an evacuation and a restore, and ends it."""
     late, host = Host(), Host()
     late.read(3, "a")
     late.read(4)
@@ -145,8 +145,8 @@
     assert host.domains() == "a"
 
 
-def test_source_without_eras_is_taken_at_its_word():
-    """Symptom: a restored older store, at a lower position, is not believed again."""
+def test_own_read_counts_as_newer_without_eras():
+    """Guards against ignoring a store that was restored at a lower position."""
     host = Host()
     host.read(9, "a", era=None)
     host.hear(10, era=None)
@@ -158,7 +158,7 @@
 
 
 def test_statement_survives_a_datagram():
-    """Symptom: a peer's word of an evacuation is dropped or misread."""
+    """Guards against statements that are dropped or misread by a peer."""
     host = Host()
     host.read(9, "a", "b")
     host.read(5, "b", era=2)
@@ -166,14 +166,14 @@
     state = HostState(1, True, {}, evacuations=host.evacuations.statement())
     data = News(Address("127.0.0.1", 1), "a", state, []).encode()
     decoded = News.decode(data).state
-    told = decoded.evacuations
-    assert told.names() == state.evacuations.names()
-    assert (told.position.era, told.position.offset) == (2, 6)
-    assert decoded.with_domain_sums(NearSums()).evacuations is told
+    received = decoded.evacuations
+    assert received.names() == state.evacuations.names()
+    assert (received.position.era, received.position.offset) == (2, 6)
+    assert decoded.with_domain_sums(NearSums()).evacuations is received
 
 
-def test_change_of_evacuations_is_told_at_once():
-    """Symptom: a host whose store is silent learns of an evacuation a second late."""
+def test_change_of_evacuations_is_sent_at_once():
+    """Guards against a delay of a second at hosts whose store is silent."""
     host = Host()
     host.read(1)
     before = HostState(1, True, {}, evacuations=host.evacuations.statement())
@@ -185,15 +185,15 @@
     assert not after.looks_like(before)
 
 
-def test_names_that_do_not_fit_a_datagram_are_not_told_in_part():
-    """Symptom: a peer takes domains for taken back that were cut off by size."""
+def test_names_that_do_not_fit_a_datagram_are_not_sent_in_part():
+    """Guards against ending evacuations whose names were truncated."""
     host = Host()
     host.read(1, *(f"domain-{number}" for number in range(200)))
     assert host.evacuations.statement() is None
 
 
 def test_targets_of_evacuated_domains_get_no_requests():
-    """Also while all are evacuated: the refusal says when to come back."""
+    """If all domains are evacuated, the refusal states when to retry."""
     parts = Parts(entry("i-1", domain="a"), entry("i-2", domain="b"))
     evacuations = Evacuations(SETTINGS, parts.clock)
     parts.targets.evacuated_domains = evacuations.domains
@@ -209,7 +209,7 @@
 
 
 def test_group_in_evacuated_domains_is_controlled_from_none():
-    """Symptom: reports are asked of a group that operators work at."""
+    """Guards against requesting reports of a group that operators are servicing."""
     home = ControlHome(SETTINGS, "a", None, None, None, None)
     home.evacuated_domains = lambda: frozenset("ab")
     assert not home.is_home("g", ["a", "b", "a"])
--- a/siskinthread/gateway/tests/test_evacuations_in_faults.py
+++ b/siskinthread/gateway/tests/test_evacuations_in_faults.py
@@ -1,4 +1,4 @@
-"""Evacuations that a part of the hosts can't read for themselves."""
+"""Evacuations while some of the hosts can't read the store."""
 
 import pytest
 
@@ -11,13 +11,13 @@
 SETTINGS = GatewaySettings()
 SETTLED_S = 6.0
 CUT_S = 2.0
-# Required, and aimed at; a datagram in ten is lost.
+# Required limit, and stricter limit of the tests; one datagram in ten is lost.
 WITHDRAWN_S = 5.0
 AIM_S = 1.0
 
 
 def build(fleet, host):
-    """Give a host its evacuations, and loads that change with each request."""
+    """Add evacuations to a host, and loads that change with each request."""
     evacuations = Evacuations(SETTINGS, fleet.clock)
     host.evacuations = evacuations
     host.changed_s = {}
@@ -34,14 +34,14 @@
 
 
 def read(host, offset, *domains):
-    """Let a host read the store itself."""
+    """Process a host's read of the store."""
     host.evacuations.advance(Position(1, offset), domains, "store")
 
 
 def play(host_count, seed, is_reader):
-    """Evacuate and take back a domain in a cut; return the latest changes, seconds.
+    """Begin and end an evacuation in a partition; return the longest delays, seconds.
 
-    Hosts for which ``is_reader`` holds read the store at once, the others never.
+    Hosts for which ``is_reader`` is true read the store at once, the others never.
     """
     fleet = ScriptedFleet(build, host_count, seed)
     fleet.run(SETTLED_S)
@@ -66,10 +66,10 @@
 def test_hosts_learn_of_an_evacuation_by_the_third_domain(
     host_count, seeds, reader_domain
 ):
-    """Domains a and b hear only c, and the store answers one domain alone.
+    """Domains a and b reach only c, and the store answers one domain alone.
 
-    With 12 hosts it took up to 2.4 s, as a change waited for the quiet round of each
-    host that hands news to other domains.
+    Guards against delays of up to 2.4 s with 12 hosts, when a change waited for the
+    regular round of each host that forwards messages to other domains.
     """
     for seed in range(seeds):
         latest_s = play(host_count, seed, lambda host: host.domain == reader_domain)
@@ -78,14 +78,14 @@
 
 @pytest.mark.parametrize("reader", [0, 1, 2, 11])
 def test_hosts_learn_of_an_evacuation_by_one_host(reader):
-    """The store answers one of 12 hosts alone, whichever it is."""
+    """The store answers only one of 12 hosts, whichever it is."""
     for seed in range(3):
         latest_s = play(12, seed, lambda host: host.number == reader)
         assert max(latest_s) <= AIM_S, (seed, latest_s)
 
 
-def test_cut_that_ends_brings_no_older_state_back():
-    """Hosts of b alone knew of the take-back; a and c told of the evacuation on."""
+def test_end_of_a_partition_does_not_reinstate_an_older_state():
+    """Only hosts of b know of the end of an evacuation; a and c still announce it."""
     fleet = ScriptedFleet(build, 12, 1)
     fleet.run(SETTLED_S)
     for host in fleet.hosts:
@@ -103,8 +103,8 @@
     assert {host.evacuations.domains() for host in fleet.hosts} == {frozenset()}
 
 
-def test_hosts_that_join_in_a_cut_learn_of_an_evacuation():
-    """Three quarters more hosts start at once, and the store turns them away."""
+def test_hosts_that_join_in_a_partition_learn_of_an_evacuation():
+    """Three quarters more hosts start at once, and the store refuses them."""
     fleet = ScriptedFleet(build, 12, 1)
     fleet.run(SETTLED_S)
     fleet.cut("a", "b")
--- a/siskinthread/gateway/tests/test_group_outages.py
+++ b/siskinthread/gateway/tests/test_group_outages.py
@@ -1,4 +1,4 @@
-"""Groups that break and open, as one entry and its peers learn of it."""
+"""Outages of groups, as an entry and its peers detect them."""
 
 import itertools
 import random
@@ -33,7 +33,7 @@
 
 
 class Host:
-    """What one entry knows of the group ``a`` and of another one, ``b``."""
+    """State of one entry with two groups, ``a`` and ``b``."""
 
     def __init__(self, now=None, name="host"):
         self.clock = ManualClock() if now is None else now
@@ -47,17 +47,17 @@
         self.outages.listen(self.opened.append)
 
     def report(self, is_open, epoch):
-        """Take a report that is asked for now."""
+        """Process a report that is requested now."""
         observed_at_s = self.clock.monotonic_s() - LAG_S
         self.outages.note_report(report(is_open, epoch), observed_at_s)
 
-    def tell(self, other):
-        """Let another host hear what this one tells now."""
+    def send_statements(self, other):
+        """Deliver the present statements of this host to another one."""
         other.outages.hear(self.outages.statements(), self.name)
 
 
 def test_report_of_a_newer_epoch_opens_a_group_at_once():
-    """Symptom: requests are kept from a group for 0.8 s after it has opened."""
+    """Guards against withholding requests from a group for 0.8 s after it opened."""
     host = Host()
     host.outages.note_declined("a")
     host.report(False, 4)
@@ -68,7 +68,7 @@
 
 
 def test_report_from_before_the_decline_does_not_open_a_group():
-    """Reports are older than answers; one says open while all ranks decline."""
+    """Reports lag behind answers: one states open while all ranks decline."""
     host = Host()
     host.outages.note_declined("a")
     host.clock.advance(LAG_S / 2)
@@ -80,7 +80,7 @@
 
 
 def test_decline_of_a_request_sent_before_the_opening_breaks_nothing():
-    """Symptom: an open group is passed over for a decline that was under way."""
+    """Guards against ejecting an open group for a decline that was in flight."""
     host = Host()
     host.outages.note_declined("a")
     sent_at_s = host.clock.monotonic_s()
@@ -94,7 +94,7 @@
 
 
 def test_failures_of_ranks_are_forgotten_only_if_they_came_from_the_outage():
-    """Symptom: ranks of an open group are passed over for up to 4 s."""
+    """Guards against ejecting the ranks of an open group for up to 4 s."""
     host = Host()
     host.parts.health.failed("a-1", "reset")
     host.clock.advance(10.0)
@@ -104,14 +104,14 @@
     host.outages.note_declined("a")
     host.parts.health.failed("a-3", "unreachable")
     host.outages.note_opened("a", 5, "test")
-    passed_over = [one for one in RANKS if host.parts.health.is_passed_over(one)]
-    assert passed_over == ["a-1"]
+    ejected = [one for one in RANKS if host.parts.health.is_passed_over(one)]
+    assert ejected == ["a-1"]
 
 
 def test_streams_from_before_the_outage_do_not_make_the_group_stalled():
-    """Symptom: a group that has opened counts as standing still for 1.5 s.
+    """Guards against a re-formed group that counts as stalled for 1.5 s.
 
-    Events: streams at ranks that were cut off get no more events and do not end.
+    Streams at ranks that were partitioned get no more events and do not end.
     """
     host = Host()
     progress = host.parts.progress
@@ -128,7 +128,7 @@
 
 
 def test_stalled_group_is_broken_only_with_a_failed_rank():
-    """A change of the map holds a group too, and would be taken for an outage."""
+    """Guards against detecting an outage when a map change holds a group."""
     host = Host()
     for rank in RANKS[:2]:
         host.parts.progress.stream_began("a", rank)
@@ -138,7 +138,7 @@
     host.parts.health.failed("a-3", "silent")
     host.outages.refresh()
     assert host.outages.is_broken("a")
-    # A group that stalls reports that it is open.
+    # A stalled group reports that it is open.
     host.clock.advance(LAG_S + 0.1)
     host.report(True, 4)
     assert host.outages.is_broken("a")
@@ -148,7 +148,7 @@
 
 
 def test_one_request_at_a_time_tests_a_group_without_reports():
-    """Symptom: each request is declined, or none finds the group open again."""
+    """Guards against declines of all requests, and against never testing a group."""
     parts = Parts(*(entry(one) for one in RANKS))
     parts.choice.group_of = lambda instance_id: instance_id[0]
     parts.outages.note_declined("a")
@@ -167,7 +167,7 @@
 
 
 def test_service_without_a_usable_group_has_an_outage():
-    """It begins as its last group breaks."""
+    """The outage begins when the last group of the service breaks."""
     host = Host()
     host.outages.note_declined("a")
     assert host.outages.service_outage("app") is None
@@ -182,26 +182,26 @@
 
 
 def test_late_datagram_does_not_break_a_group_that_has_opened():
-    """Symptom: hosts disagree on a group for seconds after it has opened."""
+    """Guards against hosts that disagree for seconds after a group has opened."""
     now = ManualClock()
     one, two = Host(now, "one"), Host(now, "two")
     one.report(False, 4)
     late = one.outages.statements()
     now.advance(0.5)
     one.report(True, 5)
-    one.tell(two)
+    one.send_statements(two)
     two.outages.hear(late, "one")
     assert not two.outages.is_broken("a")
-    # It does break again in the epoch that it has opened in.
+    # The group may break again in the epoch in which it has opened.
     now.advance(0.5)
     one.report(False, 5)
-    one.tell(two)
+    one.send_statements(two)
     assert two.outages.is_broken("a")
 
 
 @pytest.mark.parametrize("seed", range(200))
 def test_hosts_agree_whatever_datagrams_are_lost_or_late(seed):
-    """Two watchers and a listener end up with the state that the ranks report."""
+    """All hosts end with the reported state, although only two get reports."""
     chance = random.Random(seed)
     now = ManualClock()
     hosts = [Host(now, f"host {number}") for number in range(3)]
@@ -231,7 +231,7 @@
 
 
 class LaggingRank:
-    """A rank whose reports are as old as those of real ones."""
+    """A rank whose reports lag like those of real ranks."""
 
     def __init__(self, group, instance_id, note_report):
         self._group = group
@@ -239,7 +239,7 @@
         self._note_report = note_report
 
     async def report(self, wait_s):
-        """Report, unless cut off."""
+        """Report, unless partitioned."""
         asked_at_s = SYSTEM_CLOCK.monotonic_s()
         if self._id in self._group.cut_off and not self._group.is_open(asked_at_s):
             await curio.sleep(wait_s)
@@ -250,7 +250,7 @@
 
 
 class OpeningGroup:
-    """A group that is broken until a moment."""
+    """A group that opens at a given time."""
 
     def __init__(self, opens_at_s, cut_off):
         self._opens_at_s = opens_at_s
@@ -258,14 +258,19 @@
         self.report_count = 0
 
     def is_open(self, at_s):
-        """Return whether it was open at a moment."""
+        """Return whether the group was open at a given time."""
         return at_s >= self._opens_at_s
 
 
 async def first_request_s(broken_s, cut_off):
-    """Return the seconds from the opening to the first request, and the declined ones.
+    """Measure the delay from the opening of a group to its first request.
 
-    Requests come every 10 ms to an entry that would prefer the group that is broken.
+    Requests arrive every 10 ms at an entry that would prefer the broken group.
+
+    Returns
+    -------
+    tuple of float, int, int
+        Delay, seconds, number of declined requests and number of reports.
     """
     host = Host(SYSTEM_CLOCK)
     parts = host.parts
@@ -314,21 +319,21 @@
 
 
 @pytest.mark.parametrize("broken_s", [0.9, 1.25])
-def test_group_gets_requests_as_soon_as_its_reports_can_tell(broken_s):
-    """Symptom: a group that has opened gets its first request up to 0.8 s later.
+def test_group_gets_requests_as_soon_as_its_reports_permit(broken_s):
+    """Guards against a first request only 0.8 s after a group has opened.
 
-    Reports are 0.2 s old, and one is asked for every 0.2 s.
+    Reports lag by 0.2 s, and one is requested every 0.2 s.
     """
     took_s, declined, report_count = curio.run(first_request_s, broken_s, {"a-2"})
     assert took_s < LAG_S + MAP_SETTINGS.outage_watch_interval_s + 0.15
     assert declined <= 2
-    # They are paid for.
+    # Reports are billed calls.
     limit = (broken_s + took_s) / MAP_SETTINGS.outage_watch_interval_s + 2
     assert report_count <= limit
 
 
-def test_no_reports_are_asked_for_while_no_group_is_broken():
-    """Symptom: hosts pay for reports of groups that run."""
+def test_no_reports_are_requested_while_no_group_is_broken():
+    """Guards against billed calls for reports of groups that run."""
 
     async def main():
         host = Host(SYSTEM_CLOCK)
--- a/siskinthread/gateway/tests/test_group_progress.py
+++ b/siskinthread/gateway/tests/test_group_progress.py
@@ -1,4 +1,4 @@
-"""Which groups are seen to stand still."""
+"""Detection of stalled groups."""
 
 from siskinthread.gateway._group_progress import GroupProgress
 from siskinthread.gateway.tests.parts import clock, SETTINGS
@@ -7,7 +7,7 @@
 
 
 class FakePeers:
-    """Peers that see groups stand still."""
+    """Peers that have detected stalled groups."""
 
     def __init__(self, *groups):
         self._groups = set(groups)
@@ -18,7 +18,7 @@
 
 
 def build(*targets):
-    """Return the progress with a stream at each of some targets of one group."""
+    """Return a `GroupProgress` with a stream at each target of one group."""
     now = clock()
     progress = GroupProgress(SETTINGS, now)
     for target in targets:
@@ -26,8 +26,8 @@
     return progress, now
 
 
-def test_group_whose_streams_are_all_silent_stands_still():
-    """Symptom: requests go to a group that nothing comes from."""
+def test_group_whose_streams_are_all_silent_is_stalled():
+    """Guards against requests to a group that produces no events."""
     progress, now = build("i-1", "i-2")
     assert not progress.is_stalled("g")
     now.advance(LONG_S)
@@ -37,15 +37,15 @@
     assert not progress.is_stalled("g")
 
 
-def test_one_silent_target_says_nothing_of_its_group():
-    """It may be cut off from this entry alone."""
+def test_one_silent_target_does_not_make_its_group_stalled():
+    """A single target may be partitioned from this entry alone."""
     progress, now = build("i-1", "i-1")
     now.advance(LONG_S)
     assert not progress.is_stalled("g")
 
 
-def test_group_counts_for_a_while_after_its_callers_have_left():
-    """Symptom: requests go there again as soon as the last caller has given up."""
+def test_group_stays_stalled_for_some_time_after_its_callers_have_left():
+    """Guards against requests to the group as soon as its last stream is abandoned."""
     progress, now = build("i-1", "i-2")
     now.advance(LONG_S)
     assert progress.is_stalled("g")
@@ -56,8 +56,8 @@
     assert not progress.is_stalled("g")
 
 
-def test_word_of_peers_counts_without_own_events():
-    """An entry without streams there learns from others; own events go first."""
+def test_statements_of_peers_count_without_own_events():
+    """Own events of a group take precedence over statements of peers."""
     progress, now = build("i-1")
     progress.peers = FakePeers("g", "other")
     assert progress.is_stalled("other")
--- a/siskinthread/gateway/tests/test_kept_targets.py
+++ b/siskinthread/gateway/tests/test_kept_targets.py
@@ -1,4 +1,4 @@
-"""Until when targets are kept that vanished around an outage of the list."""
+"""How long targets are kept that vanish around an outage of the list."""
 
 import pytest
 
@@ -27,8 +27,11 @@
         lambda targets: targets.kept_ids(),
     ],
 )
-def test_time_alone_ends_the_grace(known):
-    """A host without requests for a service kept its targets, and told others so."""
+def test_grace_period_ends_without_requests(known):
+    """Guards against a host without requests for a service that keeps its targets.
+
+    Its peers would take the targets over.
+    """
     targets, now = build()
     now.advance(GRACE_S - STEP_S)
     assert known(targets)
@@ -38,11 +41,11 @@
 
 @pytest.mark.parametrize(
     ("answered_s", "away_s", "limit_s"),
-    # Single calls that the source turned away; then outages that end the grace anew.
+    # Single calls that the source refuses; then outages that restart the grace period.
     [(1.0, 0.3, 10.0), (0.6, 0.1, 10.0), (1.0, 3.0, None)],
 )
-def test_only_outages_prolong_the_grace(answered_s, away_s, limit_s):
-    """Each failed call began the grace anew, so that it never ended."""
+def test_only_outages_extend_the_grace_period(answered_s, away_s, limit_s):
+    """Guards against a grace period that each failed call restarts, without end."""
     targets, now = build()
     kept_s = 0.0
     while ids(targets.serving("app")) and kept_s < 60.0:
@@ -54,8 +57,8 @@
     assert kept_s < limit_s if limit_s else kept_s >= 60.0
 
 
-def test_targets_are_kept_while_the_source_is_away():
-    """Living targets were dropped in the midst of an outage that followed another."""
+def test_targets_are_kept_while_the_source_is_unavailable():
+    """Guards against removing running targets in an outage that follows another."""
     targets, now = build()
     targets.note_failed_call(now.monotonic_s())
     now.advance(10 * GRACE_S)
@@ -66,10 +69,11 @@
     ("since_call_s", "kept_s"),
     [(0.0, SETTINGS.lapse_grace_s), (1.0, 1.8), (5.0, SETTINGS.lapse_least_s)],
 )
-def test_grace_ends_before_a_host_back_from_a_cut_counts_as_in_touch(
-    since_call_s, kept_s
-):
-    """A target that had left got requests from 3 s after a cut on."""
+def test_grace_period_ends_in_time_after_a_partition(since_call_s, kept_s):
+    """Guards against requests to a target that has left, 3 s after a partition began.
+
+    The host is back from the partition, and its source no longer lists the target.
+    """
     now = clock()
     targets = TargetList(SETTINGS, now)
     targets.replace([entry("i-1")])
@@ -83,9 +87,9 @@
     assert not targets.is_serving("i-1")
 
 
-@pytest.mark.parametrize(("told_s", "own_s"), [(0.5, None), (GRACE_S, 0.5)])
-def test_kept_target_of_a_peer_is_kept_for_no_longer(told_s, own_s):
-    """A kept target was handed on as listed, with a whole grace for each host."""
+@pytest.mark.parametrize(("stated_s", "own_s"), [(0.5, None), (GRACE_S, 0.5)])
+def test_kept_target_of_a_peer_is_kept_for_no_longer(stated_s, own_s):
+    """Guards against a kept target that gets a full grace period at each host."""
     now = clock()
     targets = TargetList(SETTINGS, now)
     targets.replace([entry("i-1")])
@@ -94,7 +98,7 @@
         targets.vanish("i-1")
         now.advance(GRACE_S - own_s)
     targets.note_failed_call(now.monotonic_s())
-    targets.replace([entry("i-1")], True, "a peer", {"i-1": told_s})
+    targets.replace([entry("i-1")], True, "a peer", {"i-1": stated_s})
     now.advance(0.4)
     assert targets.is_serving("i-1")
     assert targets.kept_left_s()["i-1"] < 0.2
@@ -104,8 +108,8 @@
     assert not targets.is_serving("i-1")
 
 
-def test_kept_target_of_a_peer_that_has_left_is_not_taken():
-    """The list's upkeep failed on a kept target that the list did not hold."""
+def test_kept_target_of_a_peer_that_has_left_is_not_added():
+    """Guards against an error in the expiry of a kept target that is not listed."""
     now = clock()
     targets = TargetList(SETTINGS, now)
     targets.replace([entry("i-1"), entry("i-2")])
@@ -119,20 +123,20 @@
     assert not targets.entries()
 
 
-def test_listeners_may_look_at_the_list_while_graces_end():
-    """The second of two targets was dropped twice."""
+def test_listeners_may_query_the_list_while_grace_periods_end():
+    """Guards against removing the second of two targets twice."""
     now = clock()
     targets = TargetList(SETTINGS, now)
     targets.replace([entry("i-1"), entry("i-2")])
     targets.note_outage_end()
     targets.replace([])
-    told = []
+    notified = []
 
-    def look(entry):
-        told.append(entry.instance_id)
+    def query(entry):
+        notified.append(entry.instance_id)
         targets.entries()
 
-    targets.listen(look)
+    targets.listen(query)
     now.advance(GRACE_S)
     assert not targets.entries()
-    assert sorted(told) == ["i-1", "i-2"]
+    assert sorted(notified) == ["i-1", "i-2"]
--- a/siskinthread/gateway/tests/test_reader_lease.py
+++ b/siskinthread/gateway/tests/test_reader_lease.py
@@ -1,4 +1,4 @@
-"""When a host takes the word of readers of its failure domain."""
+"""When a host relies on the readers of its failure domain."""
 
 import curio
 import pytest
@@ -19,7 +19,7 @@
 
 HANG_S = 10.0
 SETTINGS = GatewaySettings()
-# Long beside the steps of a test on a busy machine.
+# The lease is long compared with the steps of a test on a busy machine.
 FAST = GatewaySettings(
     table_word_s=0.5,
     table_wait_s=5.0,
@@ -34,52 +34,52 @@
 
 
 def at(offset, era=1, version=1, age_s=0.0):
-    """Return what a reader tells."""
+    """Return the announcement of a reader."""
     return TableReading(Position(era, offset), version, age_s)
 
 
-class Word:
-    """A host that has read itself up to a position, and its clock."""
+class LeasedHost:
+    """The lease of a host that has read the source up to a position."""
 
     def __init__(self, offset=10, era=1):
         self.clock = clock()
         self.eras = EraWatch(Metrics())
-        self.word = ReaderLease(SETTINGS, AGE_LIMIT_S, self.clock, self.eras)
+        self.lease = ReaderLease(SETTINGS, AGE_LIMIT_S, self.clock, self.eras)
         self.position = Position(era, offset)
-        self.word.note_own_read()
+        self.lease.note_own_read()
 
     def hear(self, reading, sender=READER):
-        """Take what a reader tells."""
-        return self.word.hear(reading, sender, self.position)
+        """Process the announcement of a reader."""
+        return self.lease.hear(reading, sender, self.position)
 
 
-def test_word_of_a_reader_spares_a_host_for_a_while():
-    """Guards against a host that relies on a reader which has fallen silent."""
-    host = Word()
-    assert host.word.left_s() == 0
+def test_announcement_of_a_reader_grants_a_lease():
+    """Guards against a host that relies on a reader that has fallen silent."""
+    host = LeasedHost()
+    assert host.lease.left_s() == 0
     assert host.hear(at(10)) is ReadingOutcome.CONFIRMED
-    assert host.word.left_s() == pytest.approx(SETTINGS.table_word_s)
+    assert host.lease.left_s() == pytest.approx(SETTINGS.table_word_s)
     host.clock.advance(0.5)
     host.hear(at(10))
     host.clock.advance(0.5)
-    assert host.word.left_s() == pytest.approx(SETTINGS.table_word_s - 0.5)
+    assert host.lease.left_s() == pytest.approx(SETTINGS.table_word_s - 0.5)
     host.clock.advance(0.5)
-    assert host.word.left_s() == 0
+    assert host.lease.left_s() == 0
 
 
-def test_news_of_before_a_freeze_spare_no_read():
-    """Guards against an old configuration in force after a stop of the process.
+def test_announcements_from_before_a_stop_renew_no_lease():
+    """Guards against an outdated configuration after a stop of the process.
 
-    Datagrams that waited in the socket say that they are young.
+    Datagrams that waited in the socket state outdated ages.
     """
-    host = Word()
+    host = LeasedHost()
     host.hear(at(10))
     host.clock.advance(5.0)
     host.hear(at(10))
-    assert host.word.left_s() == 0
-    host.word.note_own_read()
+    assert host.lease.left_s() == 0
+    host.lease.note_own_read()
     host.hear(at(10))
-    assert host.word.left_s() > 0
+    assert host.lease.left_s() > 0
 
 
 @pytest.mark.parametrize(
@@ -92,54 +92,54 @@
         at(11, age_s=AGE_LIMIT_S + 0.1),
     ],
 )
-def test_reading_that_is_behind_or_of_another_era_is_not_believed(reading):
-    """Guards against a host that goes back to a peer's older state.
+def test_reading_that_is_behind_or_of_another_era_is_ignored(reading):
+    """Guards against a host that returns to the older state of a peer.
 
-    Of a reading of another era nothing is known in this host's own; a reader that the
-    source has not answered for long does not know more than this host.
+    Positions of different eras can't be compared; a reader that the source has not
+    answered for long is not ahead of this host.
     """
-    host = Word()
+    host = LeasedHost()
     assert host.hear(reading) is ReadingOutcome.IGNORED
-    assert host.word.left_s() == 0
-    assert host.word.ahead(host.position) == []
+    assert host.lease.left_s() == 0
+    assert host.lease.ahead(host.position) == []
 
 
-def test_reading_without_an_era_is_believed_where_none_was_ever_told():
-    """Guards against a read of each host where the source reports no era."""
-    host = Word(era=None)
+def test_reading_without_an_era_is_valid_while_no_era_is_known():
+    """Guards against reads by each host where the source reports no era."""
+    host = LeasedHost(era=None)
     assert host.hear(at(10, era=None)) is ReadingOutcome.CONFIRMED
     assert host.hear(at(11, era=None)) is ReadingOutcome.AHEAD
     assert host.hear(at(9, era=None)) is ReadingOutcome.IGNORED
 
 
-@pytest.mark.parametrize("told", [1, "unreadable"])
-def test_reading_without_an_era_is_not_believed_once_one_was_told(told):
+@pytest.mark.parametrize("known", [1, "unreadable"])
+def test_reading_without_an_era_is_ignored_once_an_era_is_known(known):
     """Guards against a restore that goes unnoticed while the era can't be read."""
-    host = Word(era=None)
-    if told == "unreadable":
+    host = LeasedHost(era=None)
+    if known == "unreadable":
         host.eras.note_unreadable()
     else:
-        curio.run(host.eras.note, told, "peer")
+        curio.run(host.eras.note, known, "peer")
     assert host.hear(at(12, era=None)) is ReadingOutcome.IGNORED
-    assert host.word.ahead(host.position) == []
-    assert host.word.left_s() == 0
+    assert host.lease.ahead(host.position) == []
+    assert host.lease.left_s() == 0
 
 
-def test_host_that_has_read_nothing_itself_believes_no_reader():
+def test_host_without_an_own_read_relies_on_no_reader():
     """Guards against a start that depends on a peer."""
-    word = ReaderLease(SETTINGS, AGE_LIMIT_S, clock(), EraWatch(Metrics()))
-    assert word.hear(at(10), READER, None) is ReadingOutcome.IGNORED
-    assert word.left_s() == 0
+    lease = ReaderLease(SETTINGS, AGE_LIMIT_S, clock(), EraWatch(Metrics()))
+    assert lease.hear(at(10), READER, None) is ReadingOutcome.IGNORED
+    assert lease.left_s() == 0
 
 
 def test_reader_that_is_furthest_comes_first():
-    """Guards against taking the configuration from a reader that lags behind."""
-    host = Word()
+    """Guards against fetching the configuration from a reader that lags behind."""
+    host = LeasedHost()
     assert host.hear(at(11), OTHER) is ReadingOutcome.AHEAD
     assert host.hear(at(12, version=2)) is ReadingOutcome.AHEAD
-    assert [one for one, _ in host.word.ahead(host.position)] == [READER, OTHER]
-    assert host.word.ahead(Position(1, 11))[0][0] == READER
-    assert host.word.ahead(Position(1, 12)) == []
+    assert [one for one, _ in host.lease.ahead(host.position)] == [READER, OTHER]
+    assert host.lease.ahead(Position(1, 11))[0][0] == READER
+    assert host.lease.ahead(Position(1, 12)) == []
 
 
 class Source:
@@ -161,7 +161,7 @@
         return self.table(), Position(self.era, self.version)
 
     async def read_changes(self, position, wait_s):
-        """Return the newest version as soon as there is one behind a position."""
+        """Return the newest version as soon as there is one after a position."""
         self._count()
         async with curio.ignore_after(wait_s):
             while self.version == position.offset and not self.is_away:
@@ -172,7 +172,7 @@
         return tables, Position(self.era, self.version)
 
     def take_told(self, told):
-        """Note what was taken from a reader."""
+        """Record what was fetched from a reader."""
         self.taken.append(told.position.offset)
 
     def table(self):
@@ -186,15 +186,15 @@
 
 
 class Peers:
-    """Peers of a host that may read for others."""
+    """Peers of a host that may be a reader."""
 
     def __init__(self):
         self.is_reader = False
-        self.told = 0
+        self.announcement_count = 0
         self.state = None
 
     def is_table_reader(self, count):
-        """Return whether this host reads for others."""
+        """Return whether this host is a reader."""
         return self.is_reader
 
     def near_count(self):
@@ -202,32 +202,32 @@
         return 5
 
     def is_first_of_domain(self):
-        """Return whether this host asks again first."""
+        """Return whether this host retries first."""
         return True
 
     async def tell_domain(self):
-        """Count."""
-        self.told += 1
+        """Count an announcement."""
+        self.announcement_count += 1
 
     def state_of(self, address):
-        """Return what a reader told last."""
+        """Return the state that a reader sent last."""
         return self.state
 
 
-class NoDraw:
-    """Draws the first of what there is."""
+class FirstChoice:
+    """A deterministic replacement of the random generator."""
 
     def random(self):
         """Return the lowest number."""
         return 0.0
 
     def choice(self, values):
-        """Return the first one."""
+        """Return the first value."""
         return values[0]
 
 
 class Host:
-    """A follower and its parts; `hand_out` is what readers answer."""
+    """A follower and the objects that it depends on; `serve` is the readers' answer."""
 
     def __init__(self, can_fetch=True):
         self.source = Source()
@@ -236,9 +236,9 @@
         self.peers = Peers()
         self.evacuations = Evacuations(FAST, SYSTEM_CLOCK)
         self.fetched = []
-        self.hand_out = self._newest
+        self.serve = self._newest
         self.follower = TableFollower(
-            self.source, self.view, FAST, SYSTEM_CLOCK, NoDraw()
+            self.source, self.view, FAST, SYSTEM_CLOCK, FirstChoice()
         )
         self.follower.peers = self.peers
         self.companion = Dependency("target list", SYSTEM_CLOCK)
@@ -246,7 +246,7 @@
         self.follower.evacuations = self.evacuations
         self.follower.watch_eras(self.eras)
         self.follower.fetch_told = self._fetch if can_fetch else None
-        self.telling = True
+        self.is_announcing = True
 
     def _newest(self):
         position = Position(self.source.era, self.source.version)
@@ -254,20 +254,20 @@
 
     async def _fetch(self, address):
         self.fetched.append(address)
-        told = self.hand_out()
-        if told is None:
+        served = self.serve()
+        if served is None:
             raise PlatformUnavailableError("busy")
-        return told
+        return served
 
-    async def tell_for_ever(self):
-        """Tell the host what a reader has read, as a reader does."""
+    async def announce_repeatedly(self):
+        """Announce the newest version to the host at intervals, as a reader does."""
         while True:
-            if self.telling:
-                await self.tell()
+            if self.is_announcing:
+                await self.announce()
             await curio.sleep(0.02)
 
-    async def tell(self, **fields):
-        """Tell the host once."""
+    async def announce(self, **fields):
+        """Announce the newest version to the host once."""
         version = self.source.version
         values = {"offset": version, "version": version, "era": self.source.era}
         await self.follower.hear(at(**(values | fields)), READER)
@@ -278,38 +278,38 @@
 
 
 async def until(condition):
-    """Wait until a condition holds."""
+    """Wait until a condition is true."""
     while not condition():
         await curio.sleep(0.002)
 
 
 def run(test, era=1, **fields):
-    """Run an async test with a `Host` that is spared by a reader."""
+    """Run an async test with a `Host` that relies on a reader."""
 
     async def main():
         host = Host(**fields)
         host.source.era = era
         await host.eras.note(era, told_by="source")
         running = await curio.spawn(host.follower.run)
-        telling = await curio.spawn(host.tell_for_ever)
+        announcing = await curio.spawn(host.announce_repeatedly)
         try:
             async with curio.timeout_after(HANG_S):
                 await until(lambda: host.view.table is not None)
-                # The read that waits ends, and the next one is spared.
+                # Ends the pending long poll; the next read is skipped.
                 host.source.version += 1
                 await host.until_version(2)
                 await until(lambda: not host.follower._has_answer)
                 return await test(host)
         finally:
-            await telling.cancel()
+            await announcing.cancel()
             await running.cancel()
 
     return curio.run(main)
 
 
 @pytest.mark.parametrize("era", [1, None])
-def test_spared_host_takes_changes_from_a_reader_without_a_read(era):
-    """Guards against a call for each host and change."""
+def test_leased_host_fetches_changes_from_a_reader_without_a_read(era):
+    """Guards against a call by each host for each change."""
 
     async def test(host):
         before = host.source.reads
@@ -326,33 +326,33 @@
 
 
 @pytest.mark.parametrize("era", [1, None])
-def test_evacuation_is_in_force_before_the_configuration_is_taken(era):
-    """Guards against an evacuation that waits for the pauses between two takings."""
+def test_evacuation_is_in_force_before_the_configuration_is_fetched(era):
+    """Guards against an evacuation that is delayed by the pause between fetches."""
 
     async def test(host):
-        host.telling = False
-        host.hand_out = lambda: None
+        host.is_announcing = False
+        host.serve = lambda: None
         host.source.version = 4
         for offset, domains in ((4, {"c"}), (3, {"b"})):
-            told = EvacuationStatement(Position(era, offset), domains)
-            host.peers.state = HostState(offset, True, {}, evacuations=told)
-            await host.tell(offset=offset, version=offset)
-        # The later datagram of a reader that is less far takes nothing back.
+            statement = EvacuationStatement(Position(era, offset), domains)
+            host.peers.state = HostState(offset, True, {}, evacuations=statement)
+            await host.announce(offset=offset, version=offset)
+        # A later datagram of a reader at a lower position changes nothing.
         assert host.evacuations.domains() == {"c"}
 
     run(test, era=era)
 
 
-@pytest.mark.parametrize("told", [1, "unreadable"])
-def test_host_of_a_source_that_begins_to_report_an_era_reads_anew(told):
-    """Guards against positions without an era after the source may have gone back."""
+@pytest.mark.parametrize("known", [1, "unreadable"])
+def test_host_reads_again_when_its_source_begins_to_report_an_era(known):
+    """Guards against using positions without an era after a possible restore."""
 
     async def test(host):
         before = host.source.reads
-        if told == "unreadable":
+        if known == "unreadable":
             host.eras.note_unreadable()
         else:
-            await host.tell(era=told)
+            await host.announce(era=known)
         assert not host.follower.is_spared()
         await until(lambda: host.source.reads > before)
         host.peers.is_reader = True
@@ -364,8 +364,8 @@
     run(test, era=None)
 
 
-def test_spared_host_reads_once_where_no_reader_hands_out():
-    """Guards against a change that stays unknown, or is read over and over."""
+def test_leased_host_reads_once_if_no_reader_serves_it():
+    """Guards against a change that stays unknown, or is read repeatedly."""
 
     async def test(host):
         before = host.source.reads
@@ -379,13 +379,13 @@
 
 
 @pytest.mark.parametrize("case", ["busy", "older version", "behind", "other era"])
-def test_host_reads_itself_when_a_reader_hands_out_nothing_of_use(case):
-    """Guards against older state, and against a change that no reader hands out."""
+def test_host_reads_the_source_when_a_reader_serves_no_valid_table(case):
+    """Guards against applying an older state, and against a change that is missed."""
 
     async def test(host):
         older = RouteTable(1, [], [], None, None)
         newest = host.source.table()
-        host.hand_out = {
+        host.serve = {
             "busy": lambda: None,
             "older version": lambda: ToldTable(Position(1, 3), older, None, ()),
             "behind": lambda: ToldTable(Position(1, 2), newest, None, ()),
@@ -400,10 +400,10 @@
 
 
 def test_silent_readers_are_replaced_by_an_own_read():
-    """Guards against a change that is unknown while readers are gone."""
+    """Guards against a change that stays unknown while readers are gone."""
 
     async def test(host):
-        host.telling = False
+        host.is_announcing = False
         await until(lambda: not host.follower.is_spared())
         host.source.version = 3
         await host.until_version(3)
@@ -412,8 +412,8 @@
     run(test)
 
 
-def test_host_that_becomes_a_reader_asks_before_it_tells():
-    """Guards against hosts that rely on a reader which the source turns away."""
+def test_host_that_becomes_a_reader_reads_before_it_announces():
+    """Guards against hosts that rely on a reader that the source refuses."""
 
     async def test(host):
         host.source.is_away = True
@@ -428,26 +428,26 @@
     run(test)
 
 
-def test_reader_tells_its_domain_of_a_change_at_once():
-    """Guards against a change that waits for the next regular news."""
+def test_reader_announces_a_change_at_once():
+    """Guards against a change that waits for the next regular datagram."""
 
     async def test(host):
         host.peers.is_reader = True
         await until(lambda: host.follower.statement() is not None)
-        before = host.peers.told
+        before = host.peers.announcement_count
         host.source.version = 3
         await host.until_version(3)
-        await until(lambda: host.peers.told == before + 1)
+        await until(lambda: host.peers.announcement_count == before + 1)
 
     run(test)
 
 
-def test_spared_host_reads_anew_in_a_new_era():
+def test_leased_host_reads_again_in_a_new_era():
     """Guards against positions of lost records after a restore of the source."""
 
     async def test(host):
         before = host.source.reads
-        host.telling = False
+        host.is_announcing = False
         host.source.era = 2
         host.source.version = 1
         await host.eras.note(2, told_by="peer")
@@ -456,21 +456,21 @@
     run(test)
 
 
-def test_word_of_a_later_era_alone_makes_a_host_read_anew():
-    """Guards against a restore that only a reader has noticed."""
+def test_announcement_of_a_later_era_triggers_a_read():
+    """Guards against ignoring a restore that only a reader has noticed."""
 
     async def test(host):
         before = host.source.reads
-        host.telling = False
-        await host.tell(era=2, offset=1)
+        host.is_announcing = False
+        await host.announce(era=2, offset=1)
         await until(lambda: host.source.reads > before)
         assert host.source.taken == []
 
     run(test)
 
 
-def test_read_again_reaches_a_host_that_is_spared():
-    """Guards against a host that knows of a newer version and does not ask for it."""
+def test_read_again_makes_a_leased_host_read():
+    """Guards against a host that knows of a newer version and does not read it."""
 
     async def test(host):
         before = host.source.reads
@@ -481,27 +481,27 @@
     run(test)
 
 
-def test_spared_host_does_not_ask_in_an_outage():
+def test_leased_host_does_not_read_in_an_outage():
     """Guards against calls of all hosts as soon as readers fall silent."""
 
     async def test(host):
         before = host.source.reads
         host.companion.failed(PlatformUnavailableError("away"))
-        host.telling = False
+        host.is_announcing = False
         await curio.sleep(3 * FAST.table_word_s)
         assert host.source.reads == before
         host.source.version = 3
         host.companion.answered()
         await host.follower.read_again()
         await host.until_version(3)
-        # One that is answered at once, and perhaps one that waits already.
+        # One read that is answered at once, and possibly one pending long poll.
         assert host.source.reads <= before + 2
 
     run(test)
 
 
-def test_reader_asks_less_often_while_another_use_shows_the_outage():
-    """Guards against two calls in each interval of an outage, of each reader."""
+def test_reader_backs_off_while_the_companion_is_in_outage():
+    """Guards against two calls of each reader in each retry interval of an outage."""
 
     async def test(host):
         host.peers.is_reader = True
@@ -510,7 +510,7 @@
         host.source.is_away = True
         await until(lambda: host.follower.dependency.failure_count == 3)
         before = host.source.reads
-        # Waits of 0.02 s, 0.04 s, 0.08 s, 0.16 s, ...
+        # Back-offs of 0.02 s, 0.04 s, 0.08 s, 0.16 s, ...
         await curio.sleep(10 * FAST.source_retry_s)
         assert host.source.reads - before <= 2
         host.source.is_away = False
@@ -520,35 +520,35 @@
     run(test)
 
 
-def test_age_of_a_spared_host_is_that_of_its_reader():
-    """Guards against routes that count as confirmed by a reader that knows nothing."""
+def test_age_of_a_leased_host_is_that_of_its_reader():
+    """Guards against routes that count as confirmed by a reader without answers."""
 
     async def test(host):
-        host.telling = False
-        await host.tell(age_s=0.0)
-        young_s = host.follower.dependency.age_s()
+        host.is_announcing = False
+        await host.announce(age_s=0.0)
+        first_s = host.follower.dependency.age_s()
         await curio.sleep(0.1)
-        await host.tell(age_s=5.0)
-        return young_s, host.follower.dependency.age_s()
+        await host.announce(age_s=5.0)
+        return first_s, host.follower.dependency.age_s()
 
-    young_s, later_s = run(test)
-    assert young_s < 0.1 <= later_s < 5.0
+    first_s, later_s = run(test)
+    assert first_s < 0.1 <= later_s < 5.0
 
 
 def test_setting_has_each_host_read_for_itself():
-    """Guards against a switch that does not switch."""
+    """Guards against a setting without effect."""
 
     async def main():
         host = Host()
         values = {"table_readers_per_domain": 0}
         settings = FAST.with_values(**values)
         host.follower = TableFollower(
-            host.source, host.view, settings, SYSTEM_CLOCK, NoDraw()
+            host.source, host.view, settings, SYSTEM_CLOCK, FirstChoice()
         )
         host.follower.peers = host.peers
         task = await curio.spawn(host.follower.run)
         await until(lambda: host.view.table is not None)
-        await host.tell()
+        await host.announce()
         assert not host.follower.is_spared()
         assert host.follower.statement() is None
         await task.cancel()
--- a/siskinthread/gateway/tests/test_reformed_group.py
+++ b/siskinthread/gateway/tests/test_reformed_group.py
@@ -1,4 +1,4 @@
-"""How soon a group that has re-formed has a map with which streams are in time."""
+"""Delay until a re-formed group has an expert map with which streams are in time."""
 
 import functools
 import random
@@ -30,8 +30,8 @@
 from siskinthread.observability import Metrics
 from siskinthread.timing import SYSTEM_CLOCK
 
-# Times of an engine whose streams permit a pause of 0.12 s and that copies an expert in
-# 0.4 s; the ranks are fewer.
+# Parameters of an engine whose streams permit a pause of 0.12 s and that copies an
+# expert in 0.4 s, with fewer ranks.
 RANKS, EXPERTS = 6, 48
 PASS_LIMIT_S = 0.12
 LAG_S = 0.2
@@ -57,16 +57,16 @@
         self.passes = []
         self.snapshots = []
         self.report_count = 0
-        # Until when counts are not answered after an opening.
+        # How long after an opening counts are not answered.
         self.uncounted_s = 0.0
 
-    def break_off(self):
-        """Run no more passes."""
+    def stop_passes(self):
+        """Break the group, so that it runs no more passes."""
         self.is_open = False
         self.pass_clock.stop()
 
     def reform(self):
-        """Open in a new epoch, with the first map and nothing prepared."""
+        """Open in a new epoch, with the initial map and no prepared map."""
         for rank in self.ranks:
             rank.version = rank.highest = 0
             rank.prepared = rank.armed = None
@@ -76,7 +76,7 @@
         self.opened_at_s = SYSTEM_CLOCK.monotonic_s()
 
     def advance(self):
-        """Begin a pass unless broken."""
+        """Begin a pass unless the group is broken."""
         if self.is_open:
             super().advance()
 
@@ -88,7 +88,7 @@
         return pass_s
 
     async def keep_snapshots(self):
-        """Keep what the ranks report later."""
+        """Record the state at intervals, to be reported later."""
         while True:
             ranks = [(one.version, one.prepared, one.armed) for one in self.ranks]
             state = (
@@ -102,7 +102,7 @@
             await curio.sleep(SNAPSHOT_S)
 
     def reported(self):
-        """Return the state that the ranks report now."""
+        """Return the lagging state that the ranks report now."""
         due_s = SYSTEM_CLOCK.monotonic_s() - LAG_S
         past = [state for at_s, state in self.snapshots if at_s <= due_s]
         return past[-1] if past else self.snapshots[0][1]
@@ -122,7 +122,7 @@
         await curio.sleep(ROUND_TRIP_S)
 
     async def counts(self, wait_s):
-        """Return what the requests have chosen."""
+        """Return the expert counts, unless they are not available yet."""
         await self._travel(wait_s)
         group = self._group
         if group.opened_at_s is not None:
@@ -137,12 +137,12 @@
         return await super().held_experts(wait_s)
 
     async def order(self, order, wait_s):
-        """Give an order."""
+        """Send an order."""
         await curio.sleep(ROUND_TRIP_S)
         return await super().order(order, wait_s)
 
     async def report(self, wait_s):
-        """Return what the rank reports."""
+        """Return the lagging report of the rank."""
         group = self._group
         group.report_count += 1
         asked_at_s = SYSTEM_CLOCK.monotonic_s()
@@ -167,7 +167,7 @@
 
 
 def demand(shares):
-    """Return a demand where some experts of the first rank have large shares."""
+    """Return a demand in which some experts of the first rank have large shares."""
     loads = [(1 - sum(shares)) / (EXPERTS - len(shares))] * EXPERTS
     for number, share in enumerate(shares):
         loads[number * RANKS] = share
@@ -216,7 +216,14 @@
 
 
 async def time_to_map(broken_s, shares=(0.4,), uncounted_s=0.0):
-    """Return the seconds from the opening to the first pass within the limit."""
+    """Measure the time from the opening until passes stay within the limit.
+
+    Returns
+    -------
+    tuple of float, int
+        Time from the opening to the first pass after the last late one, seconds, and
+        the number of reports while the group was broken.
+    """
     first = [[tuple(range(rank, EXPERTS, RANKS)) for rank in range(RANKS)]]
     pass_clock = PassClock()
     group = BreakingGroup(first, LAYOUT, demand(shares), RUNNING, pass_clock)
@@ -231,7 +238,7 @@
     ]
     await curio.sleep(SETTLED_S)
     assert group.passes[-1][1] <= PASS_LIMIT_S
-    group.break_off()
+    group.stop_passes()
     reports_before = group.report_count
     host.outages.note_declined("g")
     await curio.sleep(broken_s)
@@ -249,7 +256,7 @@
 
 
 def longest_time_to_map(**changes):
-    """Return the longest time to a map of some outages that last differently."""
+    """Return the longest `time_to_map` over outages of different lengths, seconds."""
 
     async def main():
         phases = [BROKEN_S + 0.07 * number for number in range(5)]
@@ -264,14 +271,14 @@
 
 
 def test_map_is_in_force_soon_after_a_group_has_reformed():
-    """Symptom: streams are late for seconds after a cut, on the first map.
+    """Guards against streams that are late for seconds after a partition.
 
-    Reports are 0.2 s old, an expert is copied in 0.4 s, and a pass on the first map
-    takes 0.15 s.
+    The group re-forms with its initial map, on which a pass takes 0.15 s.  Reports lag
+    by 0.2 s, and an expert is copied in 0.4 s.
     """
     assert longest_time_to_map() < 1.5
 
 
 def test_first_change_after_an_outage_needs_no_counts():
-    """Symptom: the map changes only once counts can be read and compared again."""
+    """Guards against a map that changes only after counts can be compared again."""
     assert longest_time_to_map(uncounted_s=2.0) < 1.5
--- a/siskinthread/gateway/tests/test_served_targets.py
+++ b/siskinthread/gateway/tests/test_served_targets.py
@@ -1,4 +1,4 @@
-"""When a host takes the target list from the reader of its failure domain."""
+"""When a host fetches the target list from the reader of its failure domain."""
 
 import pytest
 
@@ -14,43 +14,42 @@
 
 
 class Reader:
-    """The reader of a failure domain, which hands a list out."""
+    """The reader of a failure domain, which serves a list."""
 
     def __init__(self, following):
         self.following = following
         self.asked = 0
-        self.told = ToldTargets(
+        self.served = ToldTargets(
             later_position(following.source.position, 1),
             0.1,
             [entry("i-1", is_leaving=True), entry("i-2")],
         )
 
     async def fetch(self, address):
-        """Return what is handed out, or fail."""
+        """Return the served list, or fail."""
         assert address == READER
         self.asked += 1
-        if self.told is None:
+        if self.served is None:
             raise PlatformUnavailableError("busy")
-        return self.told
+        return self.served
 
-    async def tell(self):
-        """Tell the host of another list at the next position."""
+    async def announce(self):
+        """Announce a different list at the next position to the host."""
         position = later_position(self.following.source.position, 1)
         await self.following.follower.hear(ListStatement(position, 5, 0.0))
 
 
-def run_told(test, era=1):
-    """Run a test with a host that may take the list from a reader."""
+def run_served(test, era=1):
+    """Run a test with a host that may fetch the list from a reader."""
 
     async def main(following):
         if era is None:
             position = Position(None, following.source.position.offset)
             following.source.position = following.follower._position = position
-        # The source comes to the same list.
         following.reader = Reader(following)
         following.peers.reader_address = lambda: READER
         following.follower.fetch_told = following.reader.fetch
-        following.source.take_told = lambda told: None
+        following.source.take_told = lambda served: None
         return await test(following)
 
     return run(main)
@@ -62,90 +61,90 @@
 
 
 @pytest.mark.parametrize("era", [1, None])
-def test_changed_list_is_taken_from_the_reader(era):
-    """Guards against a call for each host and change of a target."""
+def test_changed_list_is_fetched_from_the_reader(era):
+    """Guards against a call by each host for each change of a target."""
 
     async def test(following):
-        await following.reader.tell()
+        await following.reader.announce()
         await until(lambda: serving(following) == ["i-2"])
         left_s = SETTINGS.target_age_limit_s - 0.1
         assert following.due_in_s() == pytest.approx(left_s)
         assert following.follower.statement().position.offset == 11
         return following.source.reads
 
-    assert run_told(test, era=era) == 1
+    assert run_served(test, era=era) == 1
 
 
-def test_long_list_is_not_taken_whole_from_a_reader():
-    """Guards against a reader that packs thousands of entries for each host."""
+def test_long_list_is_not_fetched_from_a_reader():
+    """Guards against a reader that encodes thousands of entries for each host."""
 
     async def test(following):
         following.follower._settings = SETTINGS.with_values(told_targets_limit=0)
-        await following.reader.tell()
+        await following.reader.announce()
         await until(lambda: following.source.reads == 2)
 
-    run_told(test)
+    run_served(test)
 
 
-@pytest.mark.parametrize("told", [1, "unreadable"])
-def test_list_without_an_era_is_not_taken_once_one_was_told(told):
-    """Guards against a list of before a restore, where the era can't be read."""
+@pytest.mark.parametrize("known", [1, "unreadable"])
+def test_list_without_an_era_is_rejected_once_an_era_is_known(known):
+    """Guards against a list from before a restore, where the era can't be read."""
 
     async def test(following):
-        if told == "unreadable":
+        if known == "unreadable":
             following.eras.note_unreadable()
         else:
-            await following.eras.note(told, told_by="peer")
+            await following.eras.note(known, told_by="peer")
         following.source.position = Position(None, 11)
-        await following.reader.tell()
+        await following.reader.announce()
         await until(lambda: following.source.reads == 2)
         assert serving(following) == ["i-1", "i-2"]
 
-    run_told(test, era=None)
+    run_served(test, era=None)
 
 
 @pytest.mark.parametrize("case", ["busy", "behind", "other era", "too old"])
-def test_host_reads_itself_when_the_reader_hands_out_nothing_of_use(case):
-    """Guards against an older list, and against a change that nobody hands out."""
+def test_host_reads_the_source_when_the_reader_serves_no_valid_list(case):
+    """Guards against applying an older list, and against a change that is missed."""
 
     async def test(following):
-        reader, told = following.reader, following.reader.told
+        reader, served = following.reader, following.reader.served
         if case == "busy":
-            reader.told = None
+            reader.served = None
         elif case == "behind":
-            told.position = following.source.position
+            served.position = following.source.position
         elif case == "other era":
-            told.position = Position(2, 11)
+            served.position = Position(2, 11)
         else:
-            told.age_s = SETTINGS.target_age_limit_s
+            served.age_s = SETTINGS.target_age_limit_s
         following.source.position = Position(1, 11)
-        await reader.tell()
+        await reader.announce()
         await until(lambda: following.source.reads == 2)
         assert reader.asked == 1
         assert serving(following) == ["i-1", "i-2"]
 
-    run_told(test)
+    run_served(test)
 
 
-def test_host_asks_the_source_when_its_list_is_too_old():
-    """Guards against a host that relies on the reader although it hears nothing."""
+def test_host_reads_the_source_when_its_list_is_too_old():
+    """Guards against a host that relies on a reader that has fallen silent."""
 
     async def test(following):
         following.clock.advance(SETTINGS.target_age_limit_s + 0.01)
-        await following.reader.tell()
+        await following.reader.announce()
         await following.follower._woken.set()
         await until(lambda: following.source.reads == 2)
         assert following.reader.asked == 0
 
-    run_told(test)
+    run_served(test)
 
 
 def test_target_that_the_reader_does_not_list_gets_no_requests():
-    """Guards against targets that stay though they are gone."""
+    """Guards against keeping targets that are gone."""
 
     async def test(following):
-        following.reader.told.entries = [entry("i-2"), entry("i-3")]
-        await following.reader.tell()
+        following.reader.served.entries = [entry("i-2"), entry("i-3")]
+        await following.reader.announce()
         await until(lambda: serving(following) == ["i-2", "i-3"])
 
-    run_told(test)
+    run_served(test)
--- a/siskinthread/gateway/tests/test_slow_rank_replay.py
+++ b/siskinthread/gateway/tests/test_slow_rank_replay.py
@@ -1,8 +1,8 @@
-"""Replay: one rank of a group that runs in lock-step takes several times as long.
+"""Model of a group that runs in lock-step and has one slow rank.
 
-Every pass lasts as long as its slowest rank.  The model has the group's experts spread
-evenly over the other ranks already, so that what is left is the slow rank's own part:
-a part of each pass, more for each request that it runs.
+Every pass lasts as long as its slowest rank.  In the model, the experts of the group
+are already spread evenly over the other ranks; the slow rank only performs its own part
+of each pass, which grows with each request that it runs.
 """
 
 import itertools
@@ -14,42 +14,43 @@
 
 RANKS = 16
 SLOW = "i-0"
-# Published figures of an engine: a pass without requests, and what each one adds.
+# Published parameters of an engine: time of a pass without requests, and additional
+# time per request, seconds.
 FIXED_S, REQUEST_S = 0.034, 0.0061
 EXPERT_SHARE = 0.85
-# Reading a prompt of 900 tokens.
+# Time to read a prompt of 900 tokens, seconds.
 READ_S = 0.012
 PASS_LIMIT_S = 0.12
 STREAM_PASSES = 23
-# 0.7 of the slots are in use while passes are in time.
+# Uses 0.7 of the slots while passes are in time.
 ARRIVALS_PER_S = 28.0
-TOLD_AFTER_S = 0.5
-# A pass that was under way when entries were told lasts up to half a second.
+NOTIFIED_AFTER_S = 0.5
+# A pass that is running when entries are notified lasts up to half a second.
 SETTLED_AFTER_S = 1.0
 DURATION_S = 8.0
 
 
 class Replay:
-    """A group under steady load; streams move if they are told to."""
+    """A group under steady load; optionally entries are notified, and streams move."""
 
-    def __init__(self, slowness, is_told, moves):
+    def __init__(self, slowness, is_notified, moves):
         self._slowness = slowness
         self._parts = Parts(*(entry(f"i-{rank}") for rank in range(RANKS)))
-        self._is_told = is_told
+        self._is_notified = is_notified
         self._moves = moves
-        # Target and passes left of each stream.
+        # Target and remaining passes of each stream.
         self._streams = []
         # Streams whose prompts are read in the next pass.
         self._unread = []
 
     def late_passes(self):
-        """Return how many passes are late once entries could have acted."""
+        """Return the number of late passes after entries could have reacted."""
         now_s, next_arrival_s, late_count = 0.0, 0.0, 0
         while now_s < DURATION_S:
             while next_arrival_s <= now_s:
                 next_arrival_s += 1 / ARRIVALS_PER_S
                 self._place(STREAM_PASSES)
-            if self._is_told and now_s >= TOLD_AFTER_S:
+            if self._is_notified and now_s >= NOTIFIED_AFTER_S:
                 self._parts.slow_targets.note("g", [SLOW])
                 if self._moves:
                     self._move()
@@ -95,20 +96,20 @@
 
 
 def late_passes(slowness):
-    """Return the late passes by whether entries are told, and whether streams move."""
+    """Return late passes by whether entries are notified, and whether streams move."""
     return {
-        (is_told, moves): Replay(slowness, is_told, moves).late_passes()
-        for is_told, moves in itertools.product((False, True), repeat=2)
+        (is_notified, moves): Replay(slowness, is_notified, moves).late_passes()
+        for is_notified, moves in itertools.product((False, True), repeat=2)
     }
 
 
 @pytest.mark.parametrize("slowness", [4.0, 6.0, 8.0, 12.0])
-def test_slow_rank_without_requests_holds_nobody_up(slowness):
-    """Symptom: all streams of a group are late for as long as one rank is slow.
+def test_slow_rank_without_requests_delays_no_stream(slowness):
+    """Guards against late streams of a whole group while one rank is slow.
 
-    Events: a rank becomes several times slower; it still gets its part of the requests,
-    and reads their prompts as slowly.  Told after half a second, entries send it none,
-    and let the streams that it has go on elsewhere.
+    A rank becomes several times slower; it still gets its share of the requests, and
+    reads their prompts as slowly.  Entries that are notified after half a second send
+    it no requests, and move its streams to other ranks.
     """
     late = late_passes(slowness)
     assert late[False, False] > 5
@@ -116,9 +117,9 @@
 
 
 def test_streams_of_a_very_slow_rank_must_move():
-    """Symptom: passes stay late for seconds though the slow rank gets no requests.
+    """Guards against late passes for seconds although the slow rank gets no requests.
 
-    Cause: its streams end late themselves, since each of their passes is long.
+    Its streams end late, since each of their passes is long.
     """
     late = late_passes(12.0)
     assert late[True, False] > 5
--- a/siskinthread/gateway/tests/test_slow_targets.py
+++ b/siskinthread/gateway/tests/test_slow_targets.py
@@ -1,22 +1,22 @@
-"""Targets that hold others back get no requests."""
+"""Targets that delay the other ranks of their group get no requests."""
 
 from siskinthread.gateway._slow_targets import SlowTargets
 from siskinthread.gateway.tests.parts import clock, entry, SETTINGS
 from siskinthread.gateway.tests.test_target_choice import Parts
 
 
-class TellingPeers:
-    """Peers that tell of slow targets."""
+class SlowPeers:
+    """Peers that have learnt of a slow target."""
 
     def slow_targets(self):
-        """Return what they tell."""
+        """Return the slow targets."""
         return {"i-7"}
 
 
-def test_word_of_slow_targets_counts_for_a_while():
-    """Symptom: a rank that is quick again gets no requests for ever.
+def test_statement_about_slow_targets_expires():
+    """Guards against a rank that gets no requests for ever, though it is fast again.
 
-    Events: the entry that controlled its group has been stopped.
+    The entry that controlled its group has been stopped.
     """
     time = clock()
     slow = SlowTargets(SETTINGS, time)
@@ -29,19 +29,19 @@
     assert slow.own_ids() == []
 
 
-def test_peers_tell_too():
-    """Only the entry that controls a group asks its ranks."""
+def test_slow_targets_of_peers_are_included():
+    """Only the entry that controls a group polls its ranks."""
     slow = SlowTargets(SETTINGS, clock())
-    slow.peers = TellingPeers()
+    slow.peers = SlowPeers()
     slow.note("g", ["i-2"])
     assert slow.ids() == {"i-2", "i-7"}
     assert slow.own_ids() == ["i-2"]
 
 
-def test_slow_target_is_passed_over_though_it_is_idle():
-    """Symptom: all streams of a group are late while one rank is slow.
+def test_slow_target_gets_no_requests_though_it_is_idle():
+    """Guards against late streams of a whole group while one rank is slow.
 
-    Events: a rank takes four times as long; it looks idle, and gets requests.
+    A rank takes four times as long; it appears idle, and gets requests.
     """
     parts = Parts(entry("i-1"), entry("i-2"))
     parts.slow_targets.note("g", ["i-1"])
@@ -50,7 +50,7 @@
     assert {parts.choose() for _ in range(10)} == {"i-2"}
 
 
-def test_slow_targets_are_better_than_none():
+def test_slow_targets_are_used_if_there_are_no_others():
     """All targets of a service may be slow."""
     parts = Parts(entry("i-1"))
     parts.slow_targets.note("g", ["i-1"])
--- a/siskinthread/gateway/tests/test_suspect_readers.py
+++ b/siskinthread/gateway/tests/test_suspect_readers.py
@@ -1,4 +1,4 @@
-"""When readers spare a host its reads of suspected requests."""
+"""When a host relies on readers for the stored suspected requests."""
 
 import random
 
@@ -38,12 +38,12 @@
         self.is_away = False
 
     async def read_all(self):
-        """Return nothing but the position."""
+        """Return no requests, and the position."""
         self.reads += 1
         return [], Position(1, self.offset)
 
     async def read_changes(self, position, wait_s):
-        """Return a suspected request as soon as there is one."""
+        """Return a suspected request as soon as there is one after a position."""
         self.reads += 1
         async with curio.ignore_after(wait_s):
             while self.offset == position.offset and not self.is_away:
@@ -57,17 +57,17 @@
         return changes, Position(1, self.offset)
 
     def write_at(self, position):
-        """Note nothing."""
+        """Do nothing."""
 
 
 class Peers:
-    """Peers of a host that may read for others."""
+    """Peers of a host that may be a reader."""
 
     def __init__(self):
         self.is_reader = False
 
     def is_table_reader(self, count):
-        """Return whether this host reads for others."""
+        """Return whether this host is a reader."""
         return self.is_reader
 
 
@@ -88,12 +88,12 @@
             self.source, self.register, POISON, SYSTEM_CLOCK, turns
         )
         self.follower.readers = self.readers
-        self.telling = True
+        self.is_announcing = True
 
-    async def tell_for_ever(self):
-        """Tell up to where a reader has read, as it does."""
+    async def announce_repeatedly(self):
+        """Announce the position of a reader at intervals."""
         while True:
-            if self.telling:
+            if self.is_announcing:
                 reading = SuspectsReading(Position(1, self.source.offset), 0.0)
                 await self.readers.hear(reading, READER)
             await curio.sleep(0.02)
@@ -104,31 +104,31 @@
 
 
 def run(test):
-    """Run an async test with a `Host` that is spared."""
+    """Run an async test with a `Host` that relies on a reader."""
 
     async def main():
         host = Host()
         reading = await curio.spawn(host.follower.read)
-        telling = await curio.spawn(host.tell_for_ever)
+        announcing = await curio.spawn(host.announce_repeatedly)
         try:
             async with curio.timeout_after(HANG_S):
                 await until(lambda: host.source.reads and host.readers._is_spared())
                 return await test(host)
         finally:
-            await telling.cancel()
+            await announcing.cancel()
             await reading.cancel()
 
     return curio.run(main)
 
 
 async def until(condition):
-    """Wait until a condition holds."""
+    """Wait until a condition is true."""
     while not condition():
         await curio.sleep(0.002)
 
 
-def test_spared_host_reads_once_when_there_is_more():
-    """Guards against a call of each host for each wait, and against missed records."""
+def test_leased_host_reads_once_when_there_are_new_records():
+    """Guards against a long poll by each host, and against missed records."""
 
     async def test(host):
         await until(lambda: host.readers.statement() is None)
@@ -145,10 +145,10 @@
 
 
 def test_silent_readers_are_replaced_by_own_reads():
-    """Guards against records that are unknown while readers are gone."""
+    """Guards against records that stay unknown while readers are gone."""
 
     async def test(host):
-        host.telling = False
+        host.is_announcing = False
         await until(lambda: not host.readers._is_spared())
         host.source.offset += 1
         await until(host.is_known)
@@ -156,8 +156,8 @@
     run(test)
 
 
-def test_host_that_becomes_a_reader_asks_before_it_tells():
-    """Guards against hosts that rely on a reader which the store turns away."""
+def test_host_that_becomes_a_reader_reads_before_it_announces():
+    """Guards against hosts that rely on a reader that the store refuses."""
 
     async def test(host):
         await until(lambda: host.readers.statement() is None)
@@ -171,8 +171,8 @@
     run(test)
 
 
-def test_new_era_ends_the_rest_of_a_spared_host():
-    """Guards against records that a restored store has lost and nobody writes again."""
+def test_new_era_triggers_a_read_of_a_leased_host():
+    """Guards against records that a restored store has lost and no host rewrites."""
 
     async def test(host):
         await host.eras.note(1, told_by="store")
@@ -184,19 +184,19 @@
     run(test)
 
 
-def test_spared_host_does_not_ask_in_an_outage():
+def test_leased_host_does_not_read_in_an_outage():
     """Guards against calls of all hosts as soon as readers fall silent."""
 
     async def test(host):
         await until(lambda: host.readers.statement() is None)
         before = host.source.reads
         host.companion.failed(PlatformUnavailableError("away"))
-        host.telling = False
+        host.is_announcing = False
         await curio.sleep(3 * SETTINGS.table_word_s)
         host.peers.is_reader = True
         await curio.sleep(0.1)
         host.peers.is_reader = False
-        host.telling = True
+        host.is_announcing = True
         host.companion.answered()
         await curio.sleep(0.1)
         assert host.source.reads == before
--- a/siskinthread/gateway/tests/test_table.py
+++ b/siskinthread/gateway/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Routes of a request, against a naive search, and tables that never go back."""
+"""Route look-up compared with a linear search, and order of table versions."""
 
 from hypothesis import given, strategies as st
 
@@ -34,7 +34,7 @@
 
 
 def naive_route(routes, host, path):
-    """Return the route with the longest prefix by looking at every route."""
+    """Return the route with the longest prefix by a linear search."""
     fitting = [
         route
         for route in routes
@@ -49,30 +49,30 @@
     PATHS,
 )
 def test_longest_prefix_wins(names, host, path):
-    """The table finds what a search of all routes finds."""
+    """The table finds the same route as a linear search."""
     routes = [build_route(*name) for name in names]
     found = build_table(1, routes).find_route(host, path)
     assert found is naive_route(routes, host, path)
 
 
 def test_host_is_compared_without_port_and_case():
-    """``Host`` may carry a port, and names have no case."""
+    """``Host`` may include a port, and is case-insensitive."""
     route = build_route("a.example", "/")
     assert build_table(1, [route]).find_route("A.example:8080", "/x") is route
 
 
 @given(st.floats(0, 1, exclude_max=True))
 def test_shares_of_a_route_follow_their_weights(draw):
-    """Nine in ten requests go to the service with nine tenths of the weight."""
+    """A service with nine tenths of the weight gets nine tenths of the requests."""
     route = build_route("a.example", "/", [("big", 90.0), ("small", 10.0)])
     assert route.choose_service(draw) == ("big" if draw < 0.9 else "small")
 
 
 @given(st.lists(st.integers(1, 20), max_size=12))
-def test_view_never_goes_back(versions):
-    """Symptom: a route that was taken away serves again.
+def test_view_never_returns_to_an_older_version(versions):
+    """Guards against reinstating a removed route.
 
-    Events: tables arrive out of order from several readers.
+    Tables of several readers may arrive out of order.
     """
     view = TableView()
     shown = []
--- a/siskinthread/gateway/tests/test_table_following.py
+++ b/siskinthread/gateway/tests/test_table_following.py
@@ -1,4 +1,4 @@
-"""Reading the configuration while it changes quickly."""
+"""Reading the configuration during rapid changes."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 class StormSource:
-    """A source with a new version at each moment, which counts its reads."""
+    """A source whose version changes often, which counts its reads."""
 
     def __init__(self):
         self.version = 1
@@ -25,7 +25,7 @@
         return self._table(), self.version
 
     async def read_changes(self, position, wait_s):
-        """Return the newest version as soon as there is one."""
+        """Return the newest version as soon as it differs from a position."""
         self.reads += 1
         while self.version == position:
             await curio.sleep(0.001)
@@ -36,9 +36,9 @@
 
 
 def test_series_of_changes_is_read_a_few_times():
-    """Symptom: a series of configurations costs a call for each entry and version.
+    """Guards against a call of each entry for each version of a series.
 
-    Events: 25 versions within 0.5 s.  Cause: each was read as soon as it was there.
+    25 versions are published within 0.5 s; each was read as soon as it was available.
     """
 
     async def main():
--- a/siskinthread/gateway/tests/test_target_following.py
+++ b/siskinthread/gateway/tests/test_target_following.py
@@ -1,4 +1,4 @@
-"""When a host reads the target list, and when it takes a peer's word."""
+"""When a host reads the target list, and when announcements of peers spare a read."""
 
 import curio
 import pytest
@@ -17,17 +17,17 @@
 
 
 class FakeSource:
-    """A list that counts its reads."""
+    """A source of the list that counts its reads."""
 
     def __init__(self):
-        # Whether each listed target leaves.
+        # Whether each listed target is leaving.
         self.listed = {"i-1": False, "i-2": False}
         self.position = Position(1, 10)
         self.reads = 0
         self.is_away = False
 
     async def read_all(self):
-        """Return the whole list."""
+        """Return the complete list."""
         self._count()
         return self._entries(), self.position
 
@@ -47,31 +47,31 @@
 
 
 class FakePeers:
-    """Peers of which one may read for others."""
+    """Peers of a host that may be the reader of its failure domain."""
 
     def __init__(self, reader):
         self.reader = reader
-        self.told = 0
+        self.announcement_count = 0
 
     def is_reader(self):
-        """Return whether this host reads for others."""
+        """Return whether this host is the reader."""
         return self.reader
 
     def is_first_of_domain(self):
-        """Return whether this host asks again first."""
+        """Return whether this host retries first."""
         return self.reader
 
     async def tell_domain(self):
-        """Count."""
-        self.told += 1
+        """Count an announcement."""
+        self.announcement_count += 1
 
 
 async def no_reaction():
-    """Stand for what is done when the source answers again."""
+    """Do nothing when the source answers again."""
 
 
 class Following:
-    """A follower that has read once, and its parts."""
+    """A follower and the objects that it depends on."""
 
     def __init__(self, reader=False):
         self.clock = clock()
@@ -104,24 +104,24 @@
 
 
 async def until(condition):
-    """Wait until a condition holds."""
+    """Wait until a condition is true."""
     while not condition():
         await curio.sleep(0.002)
 
 
 def later_position(position, count):
-    """Return the position some records behind another one."""
+    """Return the position `count` records after another one."""
     return Position(position.era, position.offset + count)
 
 
 def same_list(following, age_s):
-    """Return what a peer says that has read the same list further on."""
+    """Return the statement of a peer with the same list at a later position."""
     own = following.follower.statement()
     return ListStatement(later_position(own.position, 50), own.digest, age_s)
 
 
-def test_read_is_put_off_once_a_reader_was_heard_of():
-    """Guards against a second read of each host of a fleet that starts at once."""
+def test_read_is_postponed_once_a_reader_is_known():
+    """Guards against a second read by each host of a fleet that starts at once."""
 
     async def test(following):
         following.peers.reader = False
@@ -137,18 +137,18 @@
     run(test, reader=True)
 
 
-def test_reader_reads_at_its_interval_and_tells_its_domain():
-    """The host that reads for others takes nobody's word."""
+def test_reader_reads_at_its_interval_and_notifies_its_domain():
+    """The reader does not rely on announcements."""
 
     async def test(following):
         assert following.due_in_s() == pytest.approx(SETTINGS.target_interval_s)
-        await until(lambda: following.peers.told == 1)
+        await until(lambda: following.peers.announcement_count == 1)
 
     run(test, reader=True)
 
 
-def test_word_of_a_peer_spares_a_read():
-    """A host that hears of the same list reads when that news is too old."""
+def test_announcement_of_a_peer_postpones_a_read():
+    """A host whose list is confirmed reads when the confirmation is too old."""
 
     async def test(following):
         following.clock.advance(1.0)
@@ -161,10 +161,10 @@
     assert run(test) == 1
 
 
-def test_host_reads_when_it_hears_nothing():
-    """Symptom: requests go to a target that left seconds ago.
+def test_host_reads_without_announcements():
+    """Guards against requests to a target that left seconds ago.
 
-    Events: the host that reads for a domain loses its power.
+    The reader of a failure domain loses its power.
     """
 
     async def test(following):
@@ -176,8 +176,8 @@
     run(test)
 
 
-def test_other_list_of_a_peer_makes_a_host_read_at_once():
-    """A target starts to leave; the reader's next news has another digest."""
+def test_different_list_of_a_peer_triggers_a_read():
+    """A target begins to leave; the reader's next announcement has another digest."""
 
     async def test(following):
         following.source.listed["i-1"] = True
@@ -188,8 +188,8 @@
     run(test)
 
 
-def test_older_list_of_a_peer_means_nothing():
-    """A peer that is behind has another digest too."""
+def test_older_list_of_a_peer_is_ignored():
+    """A peer that is behind also has a different digest."""
 
     async def test(following):
         await following.follower.hear(ListStatement(Position(1, 9), 5, 0.0))
@@ -200,11 +200,10 @@
     assert run(test) == (1, 10)
 
 
-def test_news_of_before_a_freeze_do_not_put_a_read_off():
-    """Symptom: requests go to a target that left while this process was stopped.
+def test_announcements_from_before_a_stop_do_not_postpone_a_read():
+    """Guards against requests to a target that left while this process was stopped.
 
-    Events: the process is stopped for seconds; news wait in its socket, and each of
-    them says that it is young.
+    The process is stopped for seconds; datagrams in its socket state outdated ages.
     """
 
     async def test(following):
@@ -215,10 +214,10 @@
     run(test)
 
 
-def test_what_a_target_itself_has_said_is_not_in_the_digest():
-    """Symptom: hosts read the list at every news, as their digests differ.
+def test_departure_announced_in_an_answer_does_not_change_the_digest():
+    """Guards against a read of the list at every announcement.
 
-    Events: one of them has been told by a target's answer that it leaves.
+    The digests of hosts differ if only one of them got an answer of a leaving target.
     """
 
     async def test(following):
@@ -233,11 +232,11 @@
     assert run(test)
 
 
-def test_entries_that_are_not_first_ask_less_often_in_an_outage():
-    """Symptom: calls to the source are the dearest cost of an outage.
+def test_entries_that_are_not_first_back_off_in_an_outage():
+    """Guards against a high number of billed calls in an outage.
 
-    Events: the source is away for seconds, and each of many entries asks it twice a
-    second, for the list and for the configuration.
+    While the source is unavailable, each of many entries calls it twice a second, for
+    the list and for the configuration.
     """
     dependency = Dependency("target list", clock())
     waits_s = {True: [], False: []}
@@ -253,12 +252,11 @@
     assert dependency.retry_wait_s(SETTINGS, False) == SETTINGS.source_retry_s
 
 
-def test_lapsed_entries_are_kept_after_the_end_of_an_outage():
-    """Symptom: every request is refused for want of a target after an outage.
+def test_expired_entries_are_kept_after_the_end_of_an_outage():
+    """Guards against refusing all requests for want of a target after an outage.
 
-    Events: the source is back just after a try that failed, the next try comes 2 s
-    later, and all entries have lapsed.  Cause: the time for which they are kept was
-    reckoned from the last failed try.
+    The source recovers just after a failed call, the next call follows 2 s later, and
+    all entries have expired; the grace period was counted from the last failed call.
     """
 
     async def test(following):
@@ -277,7 +275,7 @@
 
 
 def test_age_of_the_list_is_that_of_the_newest_confirmation():
-    """An own read and a peer's word confirm the list, an older word does not."""
+    """The age of the list ignores confirmations that are older than the newest one."""
 
     async def test(following):
         assert following.targets.age_s() == pytest.approx(0.0)
--- a/siskinthread/gateway/tests/test_target_list.py
+++ b/siskinthread/gateway/tests/test_target_list.py
@@ -1,4 +1,4 @@
-"""Which targets are believed to serve, around leaving and outages of the list."""
+"""Available targets, around departures and outages of the list."""
 
 import random
 
@@ -19,16 +19,16 @@
 
 
 def test_vanished_target_is_gone_at_once():
-    """Without an outage the list is taken at its word."""
+    """Without an outage, a target that is no longer listed is removed at once."""
     targets, _ = build()
     targets.vanish("i-1")
     assert ids(targets.serving("app")) == ["i-2"]
 
 
-def test_targets_that_lapse_in_an_outage_are_kept_for_a_while():
-    """Symptom: every request is refused for want of a target after an outage.
+def test_targets_that_expire_in_an_outage_are_kept_for_a_grace_period():
+    """Guards against refusing all requests for want of a target after an outage.
 
-    Events: entries lapse while the list is away; it returns without them, and the
+    Entries expire while the list is unavailable; it returns without them, and the
     targets report again within two seconds.
     """
     targets, now = build()
@@ -41,8 +41,8 @@
     assert ids(targets.serving("app")) == ["i-1"]
 
 
-def test_leaving_in_an_outage_is_not_forgotten():
-    """A target that had said that it leaves does not come back by its lapse."""
+def test_leaving_target_is_not_kept_in_an_outage():
+    """Guards against keeping a leaving target when its entry expires in an outage."""
     targets, _ = build()
     targets.put(entry("i-1", is_leaving=True))
     targets.note_outage_end()
@@ -50,10 +50,10 @@
     assert ids(targets.serving("app")) == ["i-2"]
 
 
-def test_late_report_does_not_bring_a_leaving_target_back():
-    """Symptom: a leaving target gets requests again.
+def test_late_report_does_not_reinstate_a_leaving_target():
+    """Guards against requests to a leaving target.
 
-    Events: it has said that it leaves; an older report of it is read afterwards.
+    An older report is read after the target has announced that it leaves.
     """
     targets, _ = build()
     targets.put(entry("i-1", is_leaving=True))
@@ -62,27 +62,27 @@
 
 
 def test_target_that_vanished_may_report_again():
-    """A target that was only cut off for a while serves again."""
+    """A target that was only partitioned for some time serves again."""
     targets, _ = build()
     targets.vanish("i-1")
     targets.put(entry("i-1"))
     assert sorted(ids(targets.serving("app"))) == ["i-1", "i-2"]
 
 
-def test_listeners_hear_once_of_each_target_that_leaves():
-    """Kept connections are closed by what listeners are told."""
+def test_listeners_are_notified_once_of_each_target_that_leaves():
+    """Listeners close the idle connections to the target."""
     targets, _ = build()
-    told = []
-    targets.listen(lambda one: told.append(one.instance_id))
+    notified = []
+    targets.listen(lambda one: notified.append(one.instance_id))
     targets.put(entry("i-1", is_leaving=True))
     targets.vanish("i-1")
     targets.note_leaving("i-2", "its successor")
     targets.note_leaving("i-2", "its successor")
-    assert told == ["i-1", "i-2"]
+    assert notified == ["i-1", "i-2"]
 
 
-def test_nothing_is_kept_of_targets_that_are_gone():
-    """Symptom: memory grows with each target that is replaced."""
+def test_state_of_targets_that_are_gone_is_dropped():
+    """Guards against memory that grows with each target that is replaced."""
     now = clock()
     parts = GatewayParts(SETTINGS, "a", None, now, Metrics(), random.Random(1))
     parts.targets.put(entry("i-1"))
@@ -93,11 +93,12 @@
     assert parts.loads.total("i-1") == 0
 
 
-def test_target_that_starts_anew_under_its_id_serves_again():
-    """Symptom: a server that is back under its id gets no request, or an old one does.
+def test_target_that_restarts_under_its_listed_id_serves_again():
+    """Guards against confusing the instances of a restarted target.
 
-    Events: a target announces its leaving, starts anew under the same id, and a late
-    report of its first start is read.  Cause: what was known was kept by the id alone.
+    A target announces that it leaves, restarts under the same listed id, and a late
+    report of its first start is read.  The new instance must get requests, the old one
+    none.
     """
     targets, _ = build()
     first = entry("i-1@1", listed_id="i-1")
@@ -112,8 +113,8 @@
     assert ids(targets.serving("app")) == ["i-2"]
 
 
-def test_target_that_said_it_leaves_is_not_brought_back_by_a_list():
-    """A list, or a peer that kept the target by grace, had it as ready still."""
+def test_leaving_target_is_not_reinstated_by_a_list():
+    """Guards against lists, also of peers that keep the target, that are outdated."""
     targets, _ = build()
     targets.note_leaving("i-1", "its answer")
     targets.put(entry("i-1"))
@@ -124,27 +125,30 @@
     assert ids(targets.serving("app")) == ["i-2"]
 
 
-def test_target_that_is_gone_is_not_listed_again_by_a_peer_that_keeps_it():
-    """A host back from a cut handed on a gone server that it kept by grace."""
+def test_removed_target_is_not_reinstated_by_a_peer_that_keeps_it():
+    """Guards against a host that is back from a partition and keeps a removed target.
+
+    It sends the target to its peers as part of a snapshot.
+    """
     targets, _ = build()
     targets.replace([entry("i-2")], is_authoritative=True)
-    told = targets.without_gone([entry("i-1"), entry("i-2"), entry("i-3")], {"i-1"})
-    assert ids(told) == ["i-2", "i-3"]
-    # One that this process has not known, or that the peer has listed, may be there.
+    present = targets.without_gone([entry("i-1"), entry("i-2"), entry("i-3")], {"i-1"})
+    assert ids(present) == ["i-2", "i-3"]
+    # A target that is unknown to this process, or listed by the peer, is accepted.
     assert ids(targets.without_gone([entry("i-3")], {"i-3"})) == ["i-3"]
     assert ids(targets.without_gone([entry("i-1")], set())) == ["i-1"]
 
 
-def test_kept_targets_are_told_apart():
-    """Whoever takes the list over must know which of them only lapsed."""
+def test_kept_targets_are_distinguished():
+    """A peer that fetches the list must know which targets are only kept."""
     targets, _ = build()
     targets.note_outage_end()
     targets.vanish("i-1")
     assert targets.kept_ids() == {"i-1"}
 
 
-def test_target_that_said_it_leaves_while_it_was_not_listed_stays_away():
-    """The answer of a stream came after the target had vanished from the list."""
+def test_unlisted_target_that_announces_its_departure_is_not_reinstated():
+    """The answer of a stream arrives after the target has vanished from the list."""
     targets, _ = build()
     targets.vanish("i-1")
     targets.note_leaving("i-1", "its answer")
@@ -152,27 +156,27 @@
     assert ids(targets.serving("app")) == ["i-2"]
 
 
-def test_leaving_that_a_peer_was_told_of_is_taken_and_told_on():
-    """Each entry sent a request to a leaving target before it knew."""
+def test_departure_that_a_peer_announces_is_noted_and_forwarded():
+    """Guards against a request of each entry to a leaving target."""
     sender, _ = build()
     sender.note_says_leaving("i-1")
     receiver, now = build()
     receiver.hear_leaving(sender.leaving_statements(), "peer")
     assert ids(receiver.serving("app")) == ["i-2"]
     now.advance(SETTINGS.leaving_told_s / 2)
-    [told] = receiver.leaving_statements()
-    assert (told.instance_id, told.age_s) == ("i-1", SETTINGS.leaving_told_s / 2)
+    [stated] = receiver.leaving_statements()
+    assert (stated.instance_id, stated.age_s) == ("i-1", SETTINGS.leaving_told_s / 2)
 
 
-def test_leaving_is_not_told_for_ever():
-    """Entries told one another of a leaving target in turn, and never ceased."""
+def test_departure_is_not_announced_for_ever():
+    """Guards against entries that repeat a departure to one another without end."""
     first, _ = build()
     second, now = build()
     first.note_says_leaving("i-1")
-    told = first.leaving_statements()
+    statements = first.leaving_statements()
     now.advance(SETTINGS.leaving_told_s)
-    told[0].age_s = SETTINGS.leaving_told_s
-    second.hear_leaving(told, "peer")
+    statements[0].age_s = SETTINGS.leaving_told_s
+    second.hear_leaving(statements, "peer")
     assert ids(second.serving("app")) == ["i-1", "i-2"]
     second.note_says_leaving("i-1")
     now.advance(SETTINGS.leaving_told_s)
@@ -180,8 +184,8 @@
     assert ids(second.serving("app")) == ["i-2"]
 
 
-def test_leaving_is_remembered_of_a_bounded_number_of_targets():
-    """A process of months kept the id of each target that had ever left."""
+def test_number_of_remembered_departures_is_bounded():
+    """Guards against memory that grows with each target that has left, over months."""
     targets, _ = build()
     for number in range(3 * REMEMBERED_LIMIT):
         targets.note_leaving(f"i-{number + 10}", "its answer")
@@ -189,10 +193,10 @@
     assert targets.has_left(f"i-{3 * REMEMBERED_LIMIT + 9}")
 
 
-def test_what_is_known_of_a_target_ends_with_its_start():
-    """Symptom: a server that has just started is passed over.
+def test_state_of_a_target_is_dropped_at_its_restart():
+    """Guards against the ejection of a target that has just restarted.
 
-    Events: requests to a target fail, and it starts anew under its id.
+    Requests to a target fail, and it restarts under the same listed id.
     """
     now = clock()
     metrics = Metrics()
