--- a/siskinthread/gateway/__init__.py
+++ b/siskinthread/gateway/__init__.py
@@ -1,9 +1,9 @@
-"""Gateway that forwards HTTP requests directly to targets.
+"""Entry that forwards HTTP requests to targets without agents.
 
 Interface: ``Gateway(settings, failure_domain, wire, table_source, target_source, clock,
 metrics, random)``; ``tasks()``, ``async serve_callers(listening socket)``, ``async
-serve_pages(listening socket, pages)``, ``async drain(deadline)``.  The sources provide
-`RouteTable` and `TargetEntry` objects, the wire reads and writes headers; see
+serve_pages(listening socket, pages)``, ``async drain(deadline)``.  The sources supply
+`RouteTable` and `TargetEntry` objects, the wire parses and writes headers; see
 `Gateway`.
 """
 
@@ -14,6 +14,7 @@
     RequestFacts,
     TokenCounts,
 )
+from siskinthread.gateway._served_reads import ToldTable, ToldTargets
 from siskinthread.gateway._settings import GatewaySettings
 from siskinthread.gateway._snapshots import Snapshot
 from siskinthread.gateway._status import STATUS_OK, StatusPage
@@ -28,7 +29,6 @@
 )
 from siskinthread.gateway._target_following import TargetChange
 from siskinthread.gateway._target_list import TargetEntry
-from siskinthread.gateway._told import ToldTable, ToldTargets
 
 __all__ = [
     "STATUS_OK",
