--- a/siskinthread/peer_news/__init__.py
+++ b/siskinthread/peer_news/__init__.py
@@ -1,15 +1,22 @@
-"""What entry hosts tell one another by datagrams: loads, and how new their news are.
+"""Gossip between entry hosts over UDP: loads, versions and the state of targets.
 
-Interface: ``PeerNews(settings, address, failure_domain, first_peers, clock, random)``
+A near peer runs in the same failure domain as this process, a far peer in another one.
+
+Interface: ``PeerGossip(settings, address, failure_domain, first_peers, clock, random)``
 with ``async run()``, ``counts(instance_id)``, ``newest_version()``,
-``informed_peers()``, ``is_reader()`` and ``async tell_domain()``; ``describe`` is set
-to a callable that returns the `HostState` of this process, ``take_listing`` to a
-coroutine function that takes each `ListStatement` of a peer, ``take_backoffs`` and
-``take_leaving`` to functions that take what targets have said of themselves to peers,
-``take_outages`` to one that takes what peers have learnt of groups, and
-``take_evacuations`` to one that takes each peer's `EvacuationStatement`, or None, and
-``take_reading`` to a coroutine function that takes each `TableReading` of a reader of
-the own failure domain.  ``is_table_reader(count)`` tells whether this process is one.
+``informed_peers()``, ``is_reader()`` and ``async send_to_domain()``.  The owner sets
+``describe`` to a callable that returns the `HostState` of this process, and these
+callbacks for the contents of received messages:
+
+- ``on_listing``, a coroutine function, for each `ListStatement`;
+- ``on_reading``, a coroutine function, for each `TableReading` of a reader of the own
+  failure domain;
+- ``on_backoffs`` and ``on_leaving`` for what targets have announced to peers;
+- ``on_outages`` for group states that peers have observed;
+- ``on_evacuations`` for each peer's `EvacuationStatement`, or None.
+
+``is_table_reader(count)`` returns whether this process reads the configuration for its
+failure domain.
 """
 
 from siskinthread.peer_news._evacuations import EvacuationStatement
--- a/siskinthread/peer_news/_evacuations.py
+++ b/siskinthread/peer_news/_evacuations.py
@@ -1,4 +1,4 @@
-"""What a host tells others of evacuated failure domains."""
+"""Exchange of evacuated failure domains between hosts."""
 
 from siskinthread.source_eras import Position
 
@@ -6,7 +6,7 @@
 
 
 class EvacuationStatement:
-    """Which failure domains are evacuated at a position of their source.
+    """Evacuated failure domains at a position of their source.
 
     Parameters
     ----------
@@ -15,11 +15,11 @@
     domains : frozenset of str
         Domains that the source lists as evacuated there.
     kept_s : dict of str to float
-        Domains that stay evacuated although the source came back without them, and
-        for how long they have been kept, seconds.
+        Domains that stay evacuated although the source came back without them, and how
+        long they have been kept, seconds.
     released_s : dict of str to float
-        Domains that were taken back in the era of the position lately, and how long
-        ago, seconds.
+        Domains whose evacuation was ended lately in the era of the position, and how
+        long ago, seconds.
     """
 
     __slots__ = ("domains", "kept_s", "position", "released_s")
@@ -31,11 +31,11 @@
         self.released_s = {} if released_s is None else released_s
 
     def names(self):
-        """Return the names of all domains that it tells of, by what it tells."""
+        """Return the names of the listed, the kept and the released domains."""
         return self.domains, frozenset(self.kept_s), frozenset(self.released_s)
 
     def as_document(self):
-        """Return it as JSON values."""
+        """Return the statement as JSON values."""
         document = {
             "at": [self.position.era, self.position.offset],
             "domains": sorted(self.domains),
@@ -48,12 +48,12 @@
 
     @classmethod
     def from_document(cls, document):
-        """Return the statement that JSON values hold.
+        """Return the statement of JSON values.
 
         Raises
         ------
         KeyError, TypeError, ValueError, AttributeError, OverflowError
-            If they hold none.
+            If the values are unreadable.
         """
         era, offset = document["at"]
         return cls(
--- a/siskinthread/peer_news/_listing_news.py
+++ b/siskinthread/peer_news/_listing_message.py
@@ -1,7 +1,7 @@
-"""Datagrams that tell readers of other failure domains of a read of the target list.
+"""Datagrams that notify far readers of a read of the target list.
 
-They are beside the regular ones: those of a domain's first host hold the sum of the
-domain, which another regular one of the same sender would displace.
+They are sent apart from the regular messages: those of a domain's first host hold the
+sum of the domain, which another regular message of the same sender would displace.
 """
 
 import json
@@ -11,34 +11,35 @@
 from siskinthread.peer_news._news import ListStatement
 from siskinthread.source_eras import Position
 
-LISTING_NEWS_PREFIX = b"LISTING"
+LISTING_PREFIX = b"LISTING"
 MILLISECONDS_PER_SECOND = 1000
 
 
-def encode_listing_news(listing):
+def encode_listing_message(listing):
     """Return the datagram of a `ListStatement`.
 
-    Ages are rounded up: what is told on several times must not become younger.
+    Ages are rounded up, so that a statement does not become younger when it is
+    forwarded several times.
     """
     position = listing.position
     age_ms = math.ceil(listing.age_s * MILLISECONDS_PER_SECOND)
     row = [position.era, position.offset, listing.digest, age_ms]
-    return LISTING_NEWS_PREFIX + json.dumps(row).encode()
+    return LISTING_PREFIX + json.dumps(row).encode()
 
 
-def decode_listing_news(data):
+def decode_listing_message(data):
     """Return the `ListStatement` of a datagram.
 
     Raises
     ------
     ProtocolError
-        If it holds none.
+        If it is unreadable.
     """
     try:
-        row = json.loads(data.removeprefix(LISTING_NEWS_PREFIX))
+        row = json.loads(data.removeprefix(LISTING_PREFIX))
         era, offset, digest, age_ms = row
         position = Position(None if era is None else int(era), int(offset))
         age_s = max(0, int(age_ms)) / MILLISECONDS_PER_SECOND
         return ListStatement(position, int(digest), age_s)
     except (TypeError, ValueError, OverflowError, RecursionError) as error:
-        raise ProtocolError(f"unreadable news of a list: {error!r}") from error
+        raise ProtocolError(f"unreadable message on a list: {error!r}") from error
--- a/siskinthread/peer_news/_news.py
+++ b/siskinthread/peer_news/_news.py
@@ -1,4 +1,4 @@
-"""One datagram of news."""
+"""Contents and encoding of a regular gossip datagram."""
 
 import functools
 import json
@@ -20,25 +20,25 @@
 )
 
 MILLISECONDS_PER_SECOND = 1000
-# Addresses whose decoded form is kept; above the number of hosts of a large fleet.
-ADDRESSES_KEPT = 1024
-# Slow targets that a datagram names, in some 1 KB of its 8 KB.
-SLOW_TOLD_LIMIT = 64
-# Cold targets, and as many failed ones, that the sum of a failure domain names.
-COLD_TOLD_LIMIT = 32
-# Groups that a host controls and names, in some 0.5 KB.
-CONTROLLED_TOLD_LIMIT = 32
+# Addresses whose parsed form is cached; above the number of hosts of a large fleet.
+ADDRESS_CACHE_SIZE = 1024
+# Limit of slow targets in a datagram: some 1 KB of its 8 KB.
+SLOW_LIMIT = 64
+# Limit of cold targets, and of failed ones, in the sum of a failure domain.
+COLD_LIMIT = 32
+# Limit of controlled groups in a datagram: some 0.5 KB.
+CONTROLLED_LIMIT = 32
 
 
 class ListStatement:
-    """What a host has read of the target list itself.
+    """Progress of a host's own reading of the target list.
 
     Parameters
     ----------
     position : siskinthread.source_eras.Position
         Position in the list's source up to which it has read.
     digest : int
-        Digest of the list there; equal lists have equal ones.
+        Digest of the list there; equal lists have equal digests.
     age_s : float
         Time since that read began, seconds.
     """
@@ -52,14 +52,14 @@
 
 
 class LeavingStatement:
-    """What a host tells others of a target that has said that it leaves.
+    """A target that has announced that it leaves.
 
     Parameters
     ----------
     instance_id : str
         The target.
     age_s : float
-        Time since its answer said so, seconds.
+        Time since the answer with the announcement, seconds.
     """
 
     __slots__ = ("age_s", "instance_id")
@@ -70,52 +70,52 @@
 
 
 class HostState:
-    """What one entry host knows and does.
+    """State of one entry host, as it is sent to peers.
 
     Parameters
     ----------
     table_version : int
         Version of the configuration in force there; 0 without one.
     is_informed : bool
-        Whether it has fresh news of the configuration and the targets itself.
+        Whether it reads the configuration and the targets itself and is up to date.
     counts : dict of str to int
         Its own requests by target.
     listing : ListStatement or None
         Its last read of the target list, if any.
     stalled_groups : list of str
-        Groups of targets in which its streams get no events.
+        Groups of targets in which its streams receive no events.
     passes_s : dict of str to float
-        Time of the last pass of each group in which it has streams, seconds.
+        Duration of the last pass of each group in which it has streams, seconds.
     account_counts : dict of str to int
         Its own requests by client account.
     is_domain_sum : bool
         Whether counts, groups and slow targets are those of all hosts of its failure
         domain.
     slow_targets : list of str
-        Targets that hold others back, as far as it has learnt that itself.
+        Targets that slow others down, as far as it has observed that itself.
     limits : list of siskinthread.target_limits.LimitStatement
-        Limits that targets have named.
+        Limits that targets have stated.
     asked_rates : dict of str to float
-        Requests a second that callers ask it for, by service that has a limit.
+        Requests a second that callers send it, by service that has a limit.
     backoffs : list of siskinthread.target_limits.BackoffStatement
         Back-offs that targets have requested of it.
     leaving : list of LeavingStatement
-        Targets that have said lately that they leave.
+        Targets that have announced lately that they leave.
     group_outages : list of GroupOutageStatement
-        Groups that it has found broken, or lately open again.
+        Groups that it has found broken, or open again lately.
     evacuations : EvacuationStatement or None
         Failure domains that are evacuated, as far as the host knows.
     cold : list of siskinthread.target_limits.ColdStatement
-        Targets that have told it that they are cold, and those that have failed it
-        lately.
+        Targets that have reported to it that they are cold, and targets whose requests
+        from it have failed lately.
     controlled_groups : list of str
         Groups whose maps it controls.
     excess_tokens : dict of str to int
-        By target, tokens of its requests beyond the usual size of as many.
+        By target, tokens of its requests beyond the usual size of as many requests.
     speeds : dict of str to siskinthread.load_control.SpeedStatement
         By target, times of its requests where they are not usual.
     table_reading : TableReading or None
-        Up to where it reads the configuration, if it reads for its failure domain.
+        Its progress in the configuration, if it reads for its failure domain.
     """
 
     __slots__ = (
@@ -186,14 +186,14 @@
         self.is_domain_sum = is_domain_sum
 
     def with_domain_sums(self, near, cold=()):
-        """Return this state with what the other hosts of the failure domain told.
+        """Return this state plus the sums of the other hosts of its failure domain.
 
         Parameters
         ----------
         near : NearSums
-            What they told.
+            Sums of the other hosts.
         cold : list of siskinthread.target_limits.ColdStatement
-            What they told of cold targets, with times as of now.
+            Cold targets that they reported, with times as of now.
         """
         counts, account_counts = dict(self.counts), dict(self.account_counts)
         asked_rates = dict(self.asked_rates)
@@ -220,18 +220,18 @@
             leaving=self.leaving,
             group_outages=self.group_outages,
             evacuations=self.evacuations,
-            cold=_longest([*self.cold, *cold]),
+            cold=_longest_lasting([*self.cold, *cold]),
             controlled_groups=self.controlled_groups,
             excess_tokens=excess_tokens,
             speeds=speeds,
         )
 
-    def urgent_names(self):
-        """Return what must reach all failure domains at once, without its times."""
-        return _evacuation_names(self), _keys(self.cold)
+    def urgent_keys(self):
+        """Return what must reach all failure domains at once, without times."""
+        return _evacuation_keys(self), _keys(self.cold)
 
     def looks_like(self, other):
-        """Return whether peers would learn nothing from this beside another state."""
+        """Return whether this state holds nothing that another state does not."""
         return (
             other is not None
             and self.table_version == other.table_version
@@ -247,7 +247,7 @@
             and _ids(self.backoffs) == _ids(other.backoffs)
             and _ids(self.leaving) == _ids(other.leaving)
             and _keys(self.group_outages) == _keys(other.group_outages)
-            and self.urgent_names() == other.urgent_names()
+            and self.urgent_keys() == other.urgent_keys()
             and self.controlled_groups == other.controlled_groups
         )
 
@@ -260,8 +260,8 @@
     return {one.key() for one in statements}
 
 
-def _longest(statements):
-    """Return one `ColdStatement` by target and kind, those that count longest first."""
+def _longest_lasting(statements):
+    """Return one `ColdStatement` by target and kind, the longest-lasting ones first."""
     cold, failed = {}, {}
     for one in statements:
         if one.failed_age_s is None:
@@ -274,41 +274,43 @@
                 failed[one.instance_id] = one
     by_left = sorted(cold.values(), key=lambda one: -one.left_s)
     by_age = sorted(failed.values(), key=lambda one: one.failed_age_s)
-    return by_left[:COLD_TOLD_LIMIT] + by_age[:COLD_TOLD_LIMIT]
+    return by_left[:COLD_LIMIT] + by_age[:COLD_LIMIT]
 
 
-def _evacuation_names(state):
+def _evacuation_keys(state):
     return None if state.evacuations is None else state.evacuations.names()
 
 
 def add_counts(sums, counts):
-    """Add counts by name to sums by name."""
+    """Add counts by name to sums by name, in place."""
     for name, count in counts.items():
         sums[name] = sums.get(name, 0) + count
 
 
 class News:
-    """What one entry host tells the others.
+    """Regular message of an entry host to its peers.
 
-    JSON rather than the frames of `siskinthread.wire`: those classes would take 1.6 MB
-    more in a process that uses nothing else of them (peak resident size).
+    It is encoded as JSON rather than in the frames of `siskinthread.wire`: those
+    classes would add 1.6 MB of peak resident memory to a process that uses nothing else
+    of them.
 
     Parameters
     ----------
     sender : siskinthread.settings.Address
-        Where the sender takes news.
+        UDP address on which the sender receives messages.
     failure_domain : str
-        Where the sender runs.
+        Failure domain of the sender.
     state : HostState
-        What it knows and does.
+        State of the sender.
     peers : list of siskinthread.settings.Address
         Some other entry hosts that the sender knows.
     link_mbps : float
-        Rate of the sender's link; 0 if it is not known.
+        Rate of the sender's link, Mbit/s; 0 if it is not known.
     suspects : list of siskinthread.poison_requests.SuspectStatement
         Requests under which targets have ended.
     roster_count : int
-        Hosts that the sender has ever heard of, itself among them; 0 if not told.
+        Number of hosts from or of which the sender has ever heard, itself included; 0
+        if it is not sent.
     """
 
     __slots__ = (
@@ -345,10 +347,9 @@
         Parameters
         ----------
         limit_bytes : float
-            Its largest size; suspected requests that don't fit are left out, the last
-            ones first, then tokens, speeds, limits of targets, back-offs, leaving
-            targets and cold ones.  One that is cut off by its size would bring no news
-            at all.
+            Largest size.  To fit, the last suspected requests are left out first, then
+            tokens, speeds, limits of targets, back-offs, leaving targets and cold
+            targets, as a truncated datagram can't be decoded at all.
         """
         state = self.state
         optional = [
@@ -383,7 +384,7 @@
         if state.stalled_groups:
             document["stalled"] = state.stalled_groups
         if state.slow_targets:
-            document["slow"] = state.slow_targets[:SLOW_TOLD_LIMIT]
+            document["slow"] = state.slow_targets[:SLOW_LIMIT]
         if state.passes_s:
             document["passes_ms"] = {
                 group: round(pass_s * MILLISECONDS_PER_SECOND)
@@ -420,7 +421,7 @@
                 for one in failed
             }
         if state.controlled_groups:
-            document["controls"] = state.controlled_groups[:CONTROLLED_TOLD_LIMIT]
+            document["controls"] = state.controlled_groups[:CONTROLLED_LIMIT]
         if excess:
             document["excess"] = dict(excess)
         if speeds:
@@ -440,12 +441,12 @@
 
     @classmethod
     def decode(cls, data):
-        """Return the news of a datagram.
+        """Return the message of a datagram.
 
         Raises
         ------
         ProtocolError
-            If it holds none.
+            If it is unreadable.
         """
         try:
             document = json.loads(data)
@@ -467,7 +468,7 @@
                 _decode_evacuations(document.get("evacuations")),
                 [
                     *_decode_times(document.get("cold_ms", {}), ColdStatement),
-                    *_decode_times(document.get("failed_ms", {}), _failed),
+                    *_decode_times(document.get("failed_ms", {}), _failed_statement),
                 ],
                 [str(group) for group in document.get("controls", ())],
                 {str(one): int(n) for one, n in document.get("excess", {}).items()},
@@ -491,12 +492,12 @@
             OverflowError,
             RecursionError,
         ) as error:
-            raise ProtocolError(f"unreadable news: {error!r}") from error
+            raise ProtocolError(f"unreadable peer message: {error!r}") from error
 
 
-@functools.lru_cache(maxsize=ADDRESSES_KEPT)
+@functools.lru_cache(maxsize=ADDRESS_CACHE_SIZE)
 def _parse_address(text):
-    """Return an `Address`; each one comes many times a second."""
+    """Return an `Address`; cached, as each address comes many times a second."""
     return Address.parse(text)
 
 
@@ -544,7 +545,7 @@
     ]
 
 
-def _failed(instance_id, age_s):
+def _failed_statement(instance_id, age_s):
     return ColdStatement(instance_id, 0.0, age_s)
 
 
@@ -555,12 +556,13 @@
 def _decode_rate(value):
     rate_per_s = float(value)
     if not math.isfinite(rate_per_s) or rate_per_s < 0:
-        raise ValueError(f"{value} is no rate")
+        raise ValueError(f"rate {value} is negative or not finite")
     return rate_per_s
 
 
 def _encode_listing(listing):
-    # Rounded up: what is told on several times must not become younger.
+    # Rounded up, so that a statement does not become younger when it is forwarded
+    # several times.
     age_ms = math.ceil(listing.age_s * MILLISECONDS_PER_SECOND)
     return [listing.position.offset, listing.digest, age_ms]
 
--- a/siskinthread/peer_news/_outages.py
+++ b/siskinthread/peer_news/_outages.py
@@ -1,4 +1,4 @@
-"""What entry hosts tell one another of groups of targets that are broken or open."""
+"""Exchange of the states of target groups, broken or open, between entry hosts."""
 
 import json
 
@@ -6,40 +6,40 @@
 from siskinthread.settings import Address
 
 MILLISECONDS_PER_SECOND = 1000
-# Statements in one datagram, in some 1 KB of its 8 KB.
-OUTAGES_TOLD_LIMIT = 16
-# Begin of a datagram that tells of groups only.
-OUTAGE_NEWS_PREFIX = b'{"outages":'
+# Limit of statements in a datagram: some 1 KB of its 8 KB.
+OUTAGES_LIMIT = 16
+# Prefix of a datagram that holds group states only.
+OUTAGES_PREFIX = b'{"outages":'
 
 
 class GroupOutageStatement:
-    """What a host has learnt itself of the state of a group.
+    """State of a group as a host has observed it itself.
 
     Parameters
     ----------
     group_name : str
         The group.
     epoch : int or None
-        Last known epoch; the one that is broken, or that the group has opened in.
+        Last known epoch: the one that is broken, or in which the group has opened.
     since_s : float or None
         How long the group has been broken, seconds; None if it is open.
     age_s : float
-        Time since the state was seen, seconds.
+        Time since the state was observed, seconds.
     is_reported : bool
-        Whether a rank's own report has stated it.
-    mark : int
-        Changes while peers should be told again; not told itself.
+        Whether the state comes from a rank's own report.
+    revision : int
+        Local value whose change makes the statement be sent again; not sent itself.
     """
 
-    __slots__ = ("age_s", "epoch", "group_name", "is_reported", "mark", "since_s")
+    __slots__ = ("age_s", "epoch", "group_name", "is_reported", "revision", "since_s")
 
-    def __init__(self, group_name, epoch, since_s, age_s, is_reported, mark=0):
+    def __init__(self, group_name, epoch, since_s, age_s, is_reported, revision=0):
         self.group_name = group_name
         self.epoch = epoch
         self.since_s = since_s
         self.age_s = age_s
         self.is_reported = is_reported
-        self.mark = mark
+        self.revision = revision
 
     @property
     def is_open(self):
@@ -47,8 +47,8 @@
         return self.since_s is None
 
     def key(self):
-        """Return what differs once peers should be told anew."""
-        return self.group_name, self.epoch, self.is_open, self.mark
+        """Return the fields whose change makes the statement be sent again."""
+        return self.group_name, self.epoch, self.is_open, self.revision
 
 
 def encode_outages(statements):
@@ -61,31 +61,37 @@
             _milliseconds(one.age_s),
             int(one.is_reported),
         ]
-        for one in statements[:OUTAGES_TOLD_LIMIT]
+        for one in statements[:OUTAGES_LIMIT]
     ]
 
 
 def decode_outages(rows):
-    """Return the statements of rows; raises what unreadable ones cause."""
+    """Return the statements of rows.
+
+    Raises
+    ------
+    TypeError, ValueError, OverflowError
+        If the rows are unreadable.
+    """
     return [_decode(*row) for row in rows]
 
 
-def encode_outage_news(sender, statements):
-    """Return the datagram that tells of groups only.
+def encode_outage_message(sender, statements):
+    """Return the datagram that holds group states only.
 
     Parameters
     ----------
     sender : siskinthread.settings.Address
-        Where the sender takes news.
+        UDP address on which the sender receives messages.
     statements : list of GroupOutageStatement
-        What it has learnt.
+        States that the sender has observed.
     """
     document = {"outages": encode_outages(statements), "sender": str(sender)}
     return json.dumps(document, separators=(",", ":")).encode()
 
 
-def decode_outage_news(data):
-    """Return sender and statements of a datagram that tells of groups only.
+def decode_outage_message(data):
+    """Return sender and statements of a datagram that holds group states only.
 
     Raises
     ------
@@ -104,7 +110,7 @@
         OverflowError,
         RecursionError,
     ) as error:
-        raise ProtocolError(f"unreadable news of groups: {error!r}") from error
+        raise ProtocolError(f"unreadable message on group states: {error!r}") from error
 
 
 def _decode(group_name, epoch, since_ms, age_ms, is_reported):
--- a/siskinthread/peer_news/_peers.py
+++ b/siskinthread/peer_news/_peers.py
@@ -1,93 +1,94 @@
-"""Sending and taking news."""
+"""Sending and receiving of gossip datagrams."""
 
 import curio
 from curio import socket
 
 from siskinthread.errors import ProtocolError
 from siskinthread.observability import part_logger
-from siskinthread.peer_news._knowledge import PeerKnowledge
-from siskinthread.peer_news._listing_news import (
-    decode_listing_news,
-    encode_listing_news,
-    LISTING_NEWS_PREFIX,
+from siskinthread.peer_news._listing_message import (
+    decode_listing_message,
+    encode_listing_message,
+    LISTING_PREFIX,
 )
 from siskinthread.peer_news._news import News
 from siskinthread.peer_news._outages import (
-    decode_outage_news,
-    encode_outage_news,
-    OUTAGE_NEWS_PREFIX,
+    decode_outage_message,
+    encode_outage_message,
+    OUTAGES_PREFIX,
 )
+from siskinthread.peer_news._peer_view import PeerView
 from siskinthread.settings import Address
 from siskinthread.timing import Deadline
 
 _logger = part_logger("peer_news")
-# Rounds in which a change of evacuations or of cold targets goes to other failure
-# domains at once.  Three lost datagrams in a row are one case in 1,000 at a tenth lost.
+# Rounds in which a change of evacuations or of cold targets is sent to other failure
+# domains at once. With a tenth of the datagrams lost, three in a row are lost in one
+# case of 1,000.
 URGENT_ROUNDS = 3
 
 
-class PeerNews(PeerKnowledge):
-    """Exchanges news with all entry hosts.
+class PeerNews(PeerView):
+    """Exchanges state with all entry hosts.
 
     Parameters
     ----------
-    settings : PeerNewsSettings
-        Times.
+    settings : PeerGossipSettings
+        Intervals and limits.
     address : siskinthread.settings.Address
-        Where this process takes news.
+        UDP address on which this process receives messages.
     failure_domain : str
-        Where this process runs.
+        Failure domain of this process.
     first_peers : list of siskinthread.settings.Address
-        Entry hosts to tell first; the others are learnt from their news.
+        Entry hosts to contact first; the others are learnt from their messages.
     clock : siskinthread.timing.Clock
-        Clock of the times.
+        Clock of the deadlines.
     random : random.Random
         Chooses which peers a datagram names.
 
     Attributes
     ----------
-    take_listing : callable or None
+    on_listing : callable or None
         Coroutine function that is called with each `ListStatement` of a peer.
-    take_far_listing : callable or None
-        The same with those that readers of other failure domains send at once, and the
-        address of the reader.
-    take_reading : callable or None
+    on_far_listing : callable or None
+        Coroutine function that is called with each `ListStatement` that a reader of
+        another failure domain sends at once, and with the address of the reader.
+    on_reading : callable or None
         Coroutine function that is called with each `TableReading` of a peer of the own
         failure domain, and the peer's address.
     poison : siskinthread.poison_requests.PoisonRegister or None
-        What is known of requests under which targets have ended; peers are told of
-        each change at once, and of what still counts once a second.
+        Requests under which targets have ended.  Peers are sent each change at once,
+        and all statements that still count once per quiet interval.
     limits : siskinthread.target_limits.TargetLimits or None
-        Takes what peers tell of the limits of targets.
-    take_backoffs, take_leaving, take_cold : callable or None
+        Receives what peers report of the limits of targets.
+    on_backoffs, on_leaving, on_cold : callable or None
         Called with the list of `BackoffStatement`, `LeavingStatement` and
         `ColdStatement` of a peer, and its address as text.
-    take_outages : callable or None
+    on_outages : callable or None
         Called with the list of `GroupOutageStatement` of a peer, and its address as
         text.
-    take_evacuations : callable or None
+    on_evacuations : callable or None
         Called with the `EvacuationStatement` of a peer, or None, and its address as
         text.
 
     Notes
     -----
-    Each entry host sees its own requests only.  Eight of them, each sending to the
-    targets that look idle to it, put two streams on one rank and none on the next; a
-    target's own report comes only with its answers.
+    Each entry host sees its own requests only, and a target's own report comes only
+    with its answers.  Without the loads of the others, eight hosts that each send to
+    the targets that look idle to them put two streams on one rank and none on the next.
     """
 
     __slots__ = (
         "_far_deadline",
-        "_last_sent",
+        "_last_sent_state",
         "_quiet_deadline",
         "_random",
         "_reading_deadline",
         "_round_deadline",
         "_socket",
-        "_suspects_due",
-        "_suspects_told",
+        "_outgoing_suspects",
+        "_last_suspects",
         "_urgent_rounds",
-        "_urgent_told",
+        "_last_urgent_keys",
         "limits",
         "poison",
         "take_evacuations",
@@ -104,15 +105,15 @@
         super().__init__(settings, address, failure_domain, first_peers, clock)
         self._random = random
         self._socket = None
-        self._last_sent = None
-        # What was told that must reach all failure domains at once, and in how many
-        # rounds it still goes there.
-        self._urgent_told = None
+        self._last_sent_state = None
+        # Urgent state as it was sent last, and the number of rounds in which it is
+        # still sent to other failure domains.
+        self._last_urgent_keys = None
         self._urgent_rounds = 0
         self._round_deadline = Deadline.after(clock, 0.0)
         self._quiet_deadline = Deadline.after(clock, 0.0)
         self._far_deadline = Deadline.after(clock, 0.0)
-        # When the own failure domain must be told of this host's reading again.
+        # When the reading of this host must be sent to its failure domain again.
         self._reading_deadline = Deadline.after(clock, 0.0)
         self.take_listing = None
         self.take_far_listing = None
@@ -124,17 +125,20 @@
         self.take_cold = None
         self.poison = None
         self.limits = None
-        # What the news that go out now tell of suspected requests, and what was told.
-        self._suspects_due = []
-        self._suspects_told = []
+        # Suspected requests in the messages of the current round, and those that were
+        # sent last.
+        self._outgoing_suspects = []
+        self._last_suspects = []
 
     async def tell_domain(self):
-        """Send news to the peers of the own failure domain, without waiting."""
+        """Send the state to the peers of the own failure domain, without waiting."""
         if self._socket is not None:
-            await self._send_to([news.sender for news in self._summary().near_news])
+            await self._send_to(
+                [message.sender for message in self._summary().near_messages]
+            )
 
     async def tell_far_readers(self, listing):
-        """Tell the reader of each other failure domain of a read of the target list.
+        """Notify the reader of each other failure domain of a read of the target list.
 
         Parameters
         ----------
@@ -142,26 +146,26 @@
             The read.
         """
         if self._socket is not None:
-            data = encode_listing_news(listing)
+            data = encode_listing_message(listing)
             await self._send_data(self.far_readers(), data)
 
     async def tell_outages(self, statements):
-        """Tell all hosts of groups at once, in a datagram beside the regular ones.
+        """Send group states to all hosts at once, in a datagram of their own.
 
-        A regular one to hosts of other failure domains holds the sum of the own domain,
-        which another one of the same sender would displace.
+        A regular message would displace the last one of the same sender, and that one
+        may hold the sum of a failure domain.
 
         Parameters
         ----------
         statements : list of GroupOutageStatement
-            What this host has learnt itself.
+            States that this host has observed itself.
         """
         if self._socket is not None:
-            data = encode_outage_news(self._address, statements)
+            data = encode_outage_message(self._address, statements)
             await self._send_data({*self._peers, *self._first_peers}, data)
 
     async def run(self):
-        """Exchange news until cancelled."""
+        """Exchange messages until cancelled."""
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             self._socket.bind((self._address.host, self._address.port))
@@ -179,139 +183,140 @@
                 data, source = await self._socket.recvfrom(
                     self._settings.size_limit_bytes
                 )
-                if data.startswith(OUTAGE_NEWS_PREFIX):
-                    self._take_outage_news(data)
+                if data.startswith(OUTAGES_PREFIX):
+                    self._handle_outage_message(data)
                     continue
-                if data.startswith(LISTING_NEWS_PREFIX):
-                    await self._take_listing_news(data, source)
+                if data.startswith(LISTING_PREFIX):
+                    await self._handle_listing_message(data, source)
                     continue
-                news = News.decode(data)
-                self._take(news)
-                await self._hand_on(news, data, source)
-                await self._pass_on(news.state.listing)
-                self._pass_statements_on(news)
-                await self._pass_reading_on(news)
+                message = News.decode(data)
+                self._take(message)
+                await self._forward_sum(message, data, source)
+                await self._dispatch_listing(message.state.listing)
+                self._dispatch_statements(message)
+                await self._dispatch_reading(message)
                 if self.poison is not None:
-                    await self.poison.hear(news.suspects, str(news.sender))
+                    await self.poison.hear(message.suspects, str(message.sender))
             except ProtocolError as error:
-                _logger.event("news dropped", reason=str(error))
+                _logger.event("peer message dropped", reason=str(error))
             except ConnectionError:
-                # A datagram sent earlier was refused; its sender learns it here.
+                # An earlier sendto to a closed port is reported on the next receive.
                 continue
 
-    def _pass_statements_on(self, news):
-        """Hand on what targets have said of themselves to the sender of news."""
-        told_by = str(news.sender)
+    def _dispatch_statements(self, message):
+        """Pass the announcements of targets in a message to their consumers."""
+        told_by = str(message.sender)
         if self.limits is not None:
-            self.limits.hear(news.state.limits, told_by)
+            self.limits.hear(message.state.limits, told_by)
         if self.take_backoffs is not None:
-            self.take_backoffs(news.state.backoffs, told_by)
+            self.take_backoffs(message.state.backoffs, told_by)
         if self.take_leaving is not None:
-            self.take_leaving(news.state.leaving, told_by)
+            self.take_leaving(message.state.leaving, told_by)
         if self.take_outages is not None:
-            self.take_outages(news.state.group_outages, told_by)
+            self.take_outages(message.state.group_outages, told_by)
         if self.take_evacuations is not None:
-            self.take_evacuations(news.state.evacuations, told_by)
+            self.take_evacuations(message.state.evacuations, told_by)
         if self.take_cold is not None:
-            self.take_cold(news.state.cold, told_by)
+            self.take_cold(message.state.cold, told_by)
 
-    def _take_outage_news(self, data):
-        sender, statements = decode_outage_news(data)
+    def _handle_outage_message(self, data):
+        sender, statements = decode_outage_message(data)
         if self.take_outages is not None:
             self.take_outages(statements, str(sender))
 
-    async def _take_listing_news(self, data, source):
-        listing = decode_listing_news(data)
+    async def _handle_listing_message(self, data, source):
+        listing = decode_listing_message(data)
         if self.take_far_listing is not None:
             await self.take_far_listing(listing, Address(*source))
 
-    async def _pass_on(self, listing):
+    async def _dispatch_listing(self, listing):
         if listing is not None and self.take_listing is not None:
             await self.take_listing(listing)
 
-    async def _pass_reading_on(self, news):
-        """Hand the reading of a reader of the own failure domain on.
+    async def _dispatch_reading(self, message):
+        """Pass on the reading of a reader of the own failure domain.
 
-        It comes behind the evacuations of the same datagram, which hold up to it.
+        Call it after the evacuations of the same message have been passed on, as these
+        are valid up to the position of the reading.
         """
-        reading = news.state.table_reading
-        is_near = news.failure_domain == self._failure_domain
+        reading = message.state.table_reading
+        is_near = message.failure_domain == self._failure_domain
         if reading is None or self.take_reading is None:
             return
-        if is_near and news.state.is_informed:
-            await self.take_reading(reading, news.sender)
+        if is_near and message.state.is_informed:
+            await self.take_reading(reading, message.sender)
 
     async def _send_forever(self):
         while True:
-            self._forget_silent()
-            await self._look()
+            self._forget_silent_peers()
+            await self._send_when_due()
             await curio.sleep(self.round_wait_s())
 
     def round_wait_s(self):
-        """Return the time until it is looked at again whether peers must be told.
+        """Return the time until the next check whether peers must be sent something.
 
-        Where cold targets are bounded, a change that is urgent does not wait for the
-        next round, which comes each 1.25 s with 100 hosts in a failure domain.
+        Where cold targets are limited, an urgent change does not wait for the next
+        round, which comes each 1.25 s with 100 hosts in a failure domain.
         """
         wait_s = self._round_deadline.left_s()
         return min(self._settings.interval_s, wait_s) if self.tells_roster else wait_s
 
-    async def _look(self):
-        """Tell peers if a round is due, or something urgent is to be told."""
+    async def _send_when_due(self):
+        """Send messages if a round is due, or an urgent change is pending."""
         if not self._round_deadline.passed():
-            self._note_urgent(self.describe())
+            self._schedule_urgent(self.describe())
             if not self._urgent_rounds:
                 return
         wait_s = self.told_interval_s()
         self._round_deadline = Deadline.after(self._clock, wait_s)
-        await self._send_if_due()
+        await self._run_round()
 
-    async def _send_if_due(self):
+    async def _run_round(self):
         state = self.describe()
-        self._note_urgent(state)
+        self._schedule_urgent(state)
         is_quiet_due = self._quiet_deadline.passed()
         suspects = [] if self.poison is None else self.poison.statements()
-        is_suspect_new = self._are_new(suspects)
-        is_known = state.looks_like(self._last_sent) and not is_suspect_new
+        is_suspect_new = self._has_new(suspects)
+        is_known = state.looks_like(self._last_sent_state) and not is_suspect_new
         is_far_due = is_quiet_due or self._urgent_rounds > 0
         if is_known and not is_far_due:
             if state.table_reading is not None and self._reading_deadline.passed():
                 await self.tell_domain()
             return
-        self._last_sent = state
+        self._last_sent_state = state
         self._urgent_rounds = max(0, self._urgent_rounds - 1)
         if is_quiet_due:
             wait_s = self._settings.quiet_interval_s
             self._quiet_deadline = Deadline.after(self._clock, wait_s)
         if is_quiet_due or is_suspect_new:
-            self._suspects_due = suspects
-            self._suspects_told = suspects
+            self._outgoing_suspects = suspects
+            self._last_suspects = suspects
         await self._send_round(is_far_due)
-        self._suspects_due = []
+        self._outgoing_suspects = []
 
-    def _note_urgent(self, state):
-        """Let a change of evacuations or cold targets reach other domains at once.
+    def _schedule_urgent(self, state):
+        """Schedule a change of evacuations or cold targets for all domains at once.
 
-        Symptom without this: with 12 hosts and two failure domains cut off from each
-        other, hosts that the source turns away learnt of an evacuation up to 2.4 s
-        after it, as each hop to another domain waited for the next quiet round.  What
-        single hosts of a domain know of cold targets, its first host tells the others.
+        Without this, each hop to another domain waits for the next quiet round: with 12
+        hosts and two failure domains cut off from each other, hosts that the source
+        rejects learnt of an evacuation up to 2.4 s late.  The first host of a domain
+        includes what the other hosts of the domain know of cold targets.
         """
         if self.is_crowded() and self.is_first_of_domain():
             state = self._with_domain_sums(state)
-        names = state.urgent_names()
-        if self._last_sent is not None and names != self._urgent_told:
+        names = state.urgent_keys()
+        if self._last_sent_state is not None and names != self._last_urgent_keys:
             self._urgent_rounds = URGENT_ROUNDS
-        self._urgent_told = names
+        self._last_urgent_keys = names
 
     def _with_domain_sums(self, state):
         near = self._summary().near
         return state.with_domain_sums(near, near.cold(self._clock.monotonic_s()))
 
-    def _are_new(self, suspects):
-        """Return whether peers have not been told of some suspected requests yet."""
-        told = {one.key() for one in self._suspects_told}
-        return any(one.key() not in told for one in suspects)
+    def _has_new(self, suspects):
+        """Return whether some suspected requests have not been sent to peers yet."""
+        sent = {one.key() for one in self._last_suspects}
+        return any(one.key() not in sent for one in suspects)
 
     async def _send_round(self, is_far_due):
         if not self.is_crowded():
@@ -319,30 +324,31 @@
             return
         if is_far_due:
             await self._send_to(self._near_addresses())
-            await self._tell_other_domains()
+            await self._send_to_other_domains()
         else:
             await self.tell_domain()
 
     def _near_addresses(self):
-        """Return all hosts of the own failure domain that are known, silent ones too.
+        """Return all known hosts of the own failure domain, silent ones included.
 
-        Two hosts that have not heard of each other for a while would stay silent to
-        each other once the path between them is back.
+        If silent hosts were left out, two hosts that were cut off from each other would
+        not contact each other once the path is back.
         """
         return {
             address
             for address, peer in self._peers.items()
-            if peer.news is None or peer.news.failure_domain == self._failure_domain
+            if peer.message is None
+            or peer.message.failure_domain == self._failure_domain
         }
 
-    async def _tell_other_domains(self):
-        """Tell hosts of other failure domains what is worth its way.
+    async def _send_to_other_domains(self):
+        """Send to hosts of other failure domains.
 
-        Each host telling each other one once a second grows with the square of their
-        number: 99 hosts sent 3 MB a second across domains (reckoned), three quarters of
-        all bytes there.  So the first host of a domain tells the sum of its domain to
-        one host of each other domain, which hands it on.  All others only show, now and
-        then, that they are there.
+        If each host sent to each other one once a second, traffic would grow with the
+        square of their number: 99 hosts would send 3 MB a second across domains, three
+        quarters of all bytes there.  So the first host of a domain sends the sum of its
+        domain to one host of each other domain, which forwards it.  The others only
+        send a message now and then to stay known.
         """
         is_first = self.is_first_of_domain()
         if is_first:
@@ -350,44 +356,44 @@
             await self._send_to(self._representatives(), domain_sum)
         if not self._far_deadline.passed():
             return
-        # A host that has just started must be known soon.
-        if self._settled.passed():
+        # A host that has just started must become known soon, so it does not wait yet.
+        if self._settle_deadline.passed():
             wait_s = self._settings.far_interval_s
             self._far_deadline = Deadline.after(self._clock, wait_s)
         if not is_first:
-            near = {news.sender for news in self._summary().near_news}
+            near = {message.sender for message in self._summary().near_messages}
             await self._send_to({*self._peers, *self._first_peers} - near)
 
     def _representatives(self):
-        """Return the hosts to tell sums to: one of each other failure domain.
+        """Return the hosts to send sums to: one of each other failure domain.
 
-        All hosts of a domain from which no sum has come lately, and those of which
-        nothing has been heard.
+        These are the hosts that sent the newest sum of their domain, all hosts of a
+        domain from which no sum has come lately, and hosts that have sent nothing yet.
         """
         sums = self._summary().domain_sums
         return {
             address
             for address, peer in self._peers.items()
-            if peer.news is None
+            if peer.message is None
             or (
-                peer.news.failure_domain != self._failure_domain
-                and sums.get(peer.news.failure_domain, peer) is peer
+                peer.message.failure_domain != self._failure_domain
+                and sums.get(peer.message.failure_domain, peer) is peer
             )
         }
 
-    async def _hand_on(self, news, data, source):
-        """Pass the sum of another failure domain on to the hosts of the own one.
+    async def _forward_sum(self, message, data, source):
+        """Forward the sum of another failure domain to the hosts of the own one.
 
-        Only if it came from its sender: two hosts that both take themselves for the
-        first would send it to and fro for ever.
+        Forward it only if it came directly from its sender: two hosts that both act as
+        the first of their domain would otherwise send it to and fro endlessly.
         """
-        is_direct = source == (news.sender.host, news.sender.port)
-        is_far = news.failure_domain != self._failure_domain
-        if not (news.state.is_domain_sum and is_far and is_direct):
+        is_direct = source == (message.sender.host, message.sender.port)
+        is_far = message.failure_domain != self._failure_domain
+        if not (message.state.is_domain_sum and is_far and is_direct):
             return
         if self.is_first_of_domain():
             await self._send_data(
-                [one.sender for one in self._summary().near_news], data
+                [one.sender for one in self._summary().near_messages], data
             )
 
     async def _send_to(self, addresses, state=None):
@@ -396,9 +402,9 @@
             self._address,
             self._failure_domain,
             state,
-            self._some_peers(),
+            self._sample_peers(),
             self.link_mbps,
-            self._suspects_due,
+            self._outgoing_suspects,
             self.roster_count() if self.tells_roster else 0,
         ).encode(self._settings.size_limit_bytes)
         if state.table_reading is not None:
@@ -411,10 +417,12 @@
             try:
                 await self._socket.sendto(data, (address.host, address.port))
             except OSError as error:
-                _logger.event("news not sent", peer=str(address), reason=str(error))
+                _logger.event(
+                    "peer message not sent", peer=str(address), reason=str(error)
+                )
 
-    def _some_peers(self):
-        """Return a few peers, so that news don't grow with their number."""
-        heard = [address for address, one in self._peers.items() if one.news]
-        count = min(len(heard), self._settings.peers_told_count)
-        return self._random.sample(heard, count)
+    def _sample_peers(self):
+        """Return a sample of the peers, which bounds the size of a message."""
+        contacted = [address for address, one in self._peers.items() if one.message]
+        count = min(len(contacted), self._settings.peers_told_count)
+        return self._random.sample(contacted, count)
--- a/siskinthread/peer_news/_summary.py
+++ b/siskinthread/peer_news/_summary.py
@@ -1,17 +1,18 @@
-"""What the news of all peers come to at a moment."""
+"""Sums over the messages of all peers at a moment."""
 
 import math
 
 from siskinthread.load_control import add_speeds
 from siskinthread.peer_news._news import add_counts
-from siskinthread.peer_news._speeds import HeardSpeeds
+from siskinthread.peer_news._speeds import ReceivedSpeeds
 from siskinthread.target_limits import ColdStatement
 
 
 class NearSums:
-    """What the other hosts of the own failure domain told, to be told to other domains.
+    """Sums of the other hosts of the own failure domain, to be sent to other domains.
 
-    What those told must not come back to them.
+    They are kept apart from the sums of all peers, as a far peer must not get back what
+    it has reported itself.
 
     Attributes
     ----------
@@ -20,25 +21,25 @@
     account_counts : dict of str to int
         Requests by client account.
     stalled_groups : set of str
-        Groups that stand still.
+        Groups that make no progress.
     slow_targets : set of str
-        Targets that hold others back.
+        Targets that slow others down.
     asked_rates : dict of str to float
-        Requests a second that callers ask for, by service.
+        Requests a second that callers send, by service.
     excess_tokens : dict of str to int
         Tokens of requests beyond the usual size, by target.
     speeds : dict of str to siskinthread.load_control.SpeedStatement
-        Times of requests by target, as they were told.
-    cold_ends_s : dict of str to float
-        Until when targets are cold by their own word, monotonic seconds.
+        Times of requests by target, as they were received.
+    cold_until_s : dict of str to float
+        Until when targets are cold by their own report, monotonic seconds.
     failed_at_s : dict of str to float
-        When targets failed that may be cold, monotonic seconds.
+        When targets that may be cold failed, monotonic seconds.
     """
 
     __slots__ = (
         "account_counts",
         "asked_rates",
-        "cold_ends_s",
+        "cold_until_s",
         "counts",
         "excess_tokens",
         "failed_at_s",
@@ -48,7 +49,7 @@
     )
 
     def __init__(self):
-        self.cold_ends_s = {}
+        self.cold_until_s = {}
         self.failed_at_s = {}
         self.counts = {}
         self.account_counts = {}
@@ -74,70 +75,70 @@
         Parameters
         ----------
         now_s : float
-            Now, monotonic seconds.
+            Current time, monotonic seconds.
         """
         return [
             ColdStatement(instance_id, end_s - now_s)
-            for instance_id, end_s in self.cold_ends_s.items()
+            for instance_id, end_s in self.cold_until_s.items()
             if end_s > now_s
         ] + [
             ColdStatement(instance_id, 0.0, now_s - at_s)
             for instance_id, at_s in self.failed_at_s.items()
         ]
 
-    def add_cold(self, statements, heard_at_s):
-        """Add each `ColdStatement` of a host, heard at a time, monotonic seconds."""
+    def add_cold(self, statements, received_at_s):
+        """Add each `ColdStatement` of a host, received at a monotonic time."""
         for one in statements:
             if one.failed_age_s is None:
-                ends_s, at_s = self.cold_ends_s, heard_at_s + one.left_s
+                ends_s, at_s = self.cold_until_s, received_at_s + one.left_s
             else:
-                ends_s, at_s = self.failed_at_s, heard_at_s - one.failed_age_s
+                ends_s, at_s = self.failed_at_s, received_at_s - one.failed_age_s
             ends_s[one.instance_id] = max(at_s, ends_s.get(one.instance_id, at_s))
 
 
 class PeersSummary:
-    """Sums over all peers whose news count.
+    """Sums over all peers whose messages still count.
 
     Parameters
     ----------
     peers : iterable of object
-        Peers with ``news``, ``heard_at_s``, and ``fresh`` and ``loads_fresh``, until
-        when these count.
+        Peers with their last message, its time of receipt, and the deadlines until
+        which its version and its loads count.
     failure_domain : str
         The own failure domain.
 
     Attributes
     ----------
-    fresh_news, near_news : list of News
-        Those that count for versions; of them those of the own failure domain.
+    version_messages, near_messages : list of PeerMessage
+        Messages that count for versions; of these the ones from the own failure domain.
     counts : dict of str to int
         Requests of peers by target.
     account_counts : dict of str to int
         Requests of peers by client account.
     asked_rates : dict of str to float
-        Requests a second that callers ask peers for, by service that has a limit.
+        Requests a second that callers send to peers, by service that has a limit.
     silent_asked_rates : dict of str to float
-        The same of failure domains of which nothing is heard, by their last word.
+        The same of failure domains that have fallen silent, by their last messages.
     excess_tokens : dict of str to int
         Tokens of requests of peers beyond the usual size, by target.
     near : NearSums
         The same of peers of the own failure domain.
     domain_sums : dict of str to object
-        The peer that told the newest sum of each other failure domain.
+        The peer that sent the newest sum of each other failure domain.
     stalled_groups : set of str
-        Groups that stand still as peers see them.
+        Groups that make no progress as peers observe them.
     slow_targets : set of str
-        Targets that hold others back as peers have learnt.
-    speeds : HeardSpeeds
+        Targets that slow others down as peers observe them.
+    speeds : ReceivedSpeeds
         Times of requests by target.
     valid_until_s : float
-        When the first of the news ceases to count, monotonic seconds.
+        When the first of the messages ceases to count, monotonic seconds.
 
     Notes
     -----
-    A choice of a target asks for the load of each of them.  Summed over 98 peers for
-    each of 192 targets anew, a choice took 45 ms of a core; with one sum it takes 3 ms
-    (same machine and load).
+    The choice of a target needs the load of each target.  Summed anew over 98 peers for
+    each of 192 targets, a choice takes 45 ms of a core; with one cached sum it takes 3
+    ms on the same machine under the same load.
     """
 
     __slots__ = (
@@ -146,9 +147,9 @@
         "counts",
         "domain_sums",
         "excess_tokens",
-        "fresh_news",
+        "version_messages",
         "near",
-        "near_news",
+        "near_messages",
         "silent_asked_rates",
         "slow_targets",
         "speeds",
@@ -163,82 +164,85 @@
         self.silent_asked_rates = {}
         self.excess_tokens = {}
         self.near = NearSums()
-        self.speeds = HeardSpeeds()
-        self.fresh_news = []
-        self.near_news = []
+        self.speeds = ReceivedSpeeds()
+        self.version_messages = []
+        self.near_messages = []
         self.domain_sums = {}
         self.stalled_groups = set()
         self.slow_targets = set()
         self.valid_until_s = math.inf
-        heard = [peer for peer in peers if peer.news is not None]
-        for peer in heard:
-            self._note_fresh(peer, failure_domain)
-        self._note_domain_sums(heard, failure_domain)
-        for peer in heard:
+        senders = [peer for peer in peers if peer.message is not None]
+        for peer in senders:
+            self._add_version(peer, failure_domain)
+        self._find_domain_sums(senders, failure_domain)
+        for peer in senders:
             self._add_loads(peer, failure_domain)
-        self._add_silent_domains(heard)
+        self._add_silent_domains(senders)
 
-    def _note_fresh(self, peer, failure_domain):
-        if peer.fresh.passed():
+    def _add_version(self, peer, failure_domain):
+        if peer.version_deadline.passed():
             return
-        self.valid_until_s = min(self.valid_until_s, peer.fresh.at_s)
-        self.fresh_news.append(peer.news)
-        if peer.news.failure_domain == failure_domain:
-            self.near_news.append(peer.news)
+        self.valid_until_s = min(self.valid_until_s, peer.version_deadline.at_s)
+        self.version_messages.append(peer.message)
+        if peer.message.failure_domain == failure_domain:
+            self.near_messages.append(peer.message)
 
-    def _note_domain_sums(self, heard, failure_domain):
+    def _find_domain_sums(self, senders, failure_domain):
         """Find the newest sum of each other failure domain."""
         sums = [
             peer
-            for peer in heard
-            if peer.news.state.is_domain_sum
-            and peer.news.failure_domain != failure_domain
-            and not peer.loads_fresh.passed()
+            for peer in senders
+            if peer.message.state.is_domain_sum
+            and peer.message.failure_domain != failure_domain
+            and not peer.loads_deadline.passed()
         ]
-        for peer in sorted(sums, key=lambda peer: peer.heard_at_s):
-            self.domain_sums[peer.news.failure_domain] = peer
+        for peer in sorted(sums, key=lambda peer: peer.received_at_s):
+            self.domain_sums[peer.message.failure_domain] = peer
 
     def _add_loads(self, peer, failure_domain):
-        if peer.loads_fresh.passed():
+        if peer.loads_deadline.passed():
             return
-        state = peer.news.state
-        self.valid_until_s = min(self.valid_until_s, peer.loads_fresh.at_s)
+        state = peer.message.state
+        self.valid_until_s = min(self.valid_until_s, peer.loads_deadline.at_s)
         self.stalled_groups.update(state.stalled_groups)
         self.slow_targets.update(state.slow_targets)
-        is_near = peer.news.failure_domain == failure_domain
+        is_near = peer.message.failure_domain == failure_domain
         if is_near:
             self.near.add(state)
-            self.near.add_cold(state.cold, peer.heard_at_s)
-        elif self.domain_sums.get(peer.news.failure_domain, peer) is not peer:
-            # Its requests are part of its domain's sum.
+            self.near.add_cold(state.cold, peer.received_at_s)
+        elif self.domain_sums.get(peer.message.failure_domain, peer) is not peer:
+            # Its requests are included in the sum of its domain.
             return
-        self.speeds.add(state.speeds, peer.heard_at_s)
+        self.speeds.add(state.speeds, peer.received_at_s)
         add_counts(self.excess_tokens, state.excess_tokens)
         add_counts(self.asked_rates, state.asked_rates)
         add_counts(self.counts, state.counts)
         add_counts(self.account_counts, state.account_counts)
 
-    def _add_silent_domains(self, heard):
-        """Count what callers asked whole failure domains for that have fallen silent.
+    def _add_silent_domains(self, senders):
+        """Add the last demand of failure domains that have fallen silent as a whole.
 
         A domain that is cut off from this one still reaches the targets, and its
-        callers stay there.  Without its last word each side took all of a limit: with
-        4 hosts and one domain cut off, a target that takes 20 requests a second got
-        157 in 4 s, of 125 that it may get.  Single hosts that fall silent are taken to
-        have ended, since their callers then come to others.  A domain that has ended
-        counts until its hosts are forgotten, and less of a limit is used so long.
+        callers stay there.  If its last known rates were dropped, each side would use
+        all of a limit: with 4 hosts and one domain cut off, a target that accepts 20
+        requests a second got 157 in 4 s instead of 125.  A single silent host is taken
+        to have ended, since its callers then move to other hosts.  A domain that has
+        ended counts until its hosts are forgotten, and less of a limit is used until
+        then.
         """
         domains = {}
-        for peer in heard:
-            domains.setdefault(peer.news.failure_domain, []).append(peer)
+        for peer in senders:
+            domains.setdefault(peer.message.failure_domain, []).append(peer)
         for peers in domains.values():
-            last = max(peers, key=lambda peer: peer.heard_at_s)
-            if not last.loads_fresh.passed():
+            last = max(peers, key=lambda peer: peer.received_at_s)
+            if not last.loads_deadline.passed():
                 continue
-            # Those whose word still counted when the last one was heard.
-            counted = [one for one in peers if one.loads_fresh.at_s > last.heard_at_s]
-            sums = [one for one in counted if one.news.state.is_domain_sum]
+            # Peers whose loads still counted when the last message of the domain came.
+            counted = [
+                one for one in peers if one.loads_deadline.at_s > last.received_at_s
+            ]
+            sums = [one for one in counted if one.message.state.is_domain_sum]
             if sums:
-                counted = [max(sums, key=lambda peer: peer.heard_at_s)]
+                counted = [max(sums, key=lambda peer: peer.received_at_s)]
             for peer in counted:
-                add_counts(self.silent_asked_rates, peer.news.state.asked_rates)
+                add_counts(self.silent_asked_rates, peer.message.state.asked_rates)
--- a/siskinthread/peer_news/_table_reading.py
+++ b/siskinthread/peer_news/_table_reading.py
@@ -1,4 +1,4 @@
-"""What a host tells others of its own reading of the configuration."""
+"""Progress of a host's own reading of the configuration, as it is sent to peers."""
 
 import math
 
@@ -8,14 +8,14 @@
 
 
 class SuspectsReading:
-    """Up to where a host has read what a store has of suspected requests.
+    """Position up to which a host has read the suspected requests of a store.
 
     Parameters
     ----------
     position : siskinthread.source_eras.Position
         Position up to which it has read.
     age_s : float
-        Time since the store answered it last, seconds.
+        Time since the last answer of the store, seconds.
     """
 
     __slots__ = ("age_s", "position")
@@ -26,18 +26,18 @@
 
 
 class TableReading:
-    """Up to where a host has read what operators publish.
+    """Position up to which a host has read the published configuration.
 
     Parameters
     ----------
     position : siskinthread.source_eras.Position
-        Position up to which it has read; it waits for what comes behind it.
+        Position up to which it has read; it waits for the records after it.
     version : int
         Version of the configuration in force there; 0 without one.
     age_s : float
-        Time since the source answered it last, seconds.
+        Time since the last answer of the source, seconds.
     suspects : SuspectsReading or None
-        Its reading of suspected requests, in the same era.
+        Its progress in the suspected requests, in the same era.
     """
 
     __slots__ = ("age_s", "position", "suspects", "version")
@@ -49,7 +49,7 @@
         self.age_s = age_s
 
     def as_row(self):
-        """Return it as JSON values."""
+        """Return the reading as JSON values."""
         era, offset = self.position.era, self.position.offset
         row = [era, offset, self.version, _milliseconds(self.age_s)]
         if self.suspects is not None and self.suspects.position.era == era:
@@ -59,22 +59,22 @@
 
     @classmethod
     def from_row(cls, row):
-        """Return the reading that JSON values hold.
+        """Return the reading of JSON values.
 
         Raises
         ------
         TypeError, ValueError, OverflowError
-            If they hold none.
+            If the values are unreadable.
         """
         era, offset, version, age_ms, *suspects = row
         era = None if era is None else int(era)
-        told = None
+        suspects_reading = None
         if suspects:
             suspects_offset, suspects_age_ms = suspects
             position = Position(era, int(suspects_offset))
-            told = SuspectsReading(position, _seconds(suspects_age_ms))
+            suspects_reading = SuspectsReading(position, _seconds(suspects_age_ms))
         position = Position(era, int(offset))
-        return cls(position, int(version), _seconds(age_ms), told)
+        return cls(position, int(version), _seconds(age_ms), suspects_reading)
 
 
 def _milliseconds(age_s):
--- a/siskinthread/peer_news/tests/__init__.py
+++ b/siskinthread/peer_news/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the news between entry hosts."""
+"""Tests of the gossip between entry hosts."""
--- a/siskinthread/peer_news/tests/scripted_fleet.py
+++ b/siskinthread/peer_news/tests/scripted_fleet.py
@@ -1,7 +1,7 @@
-"""Hosts that exchange real news over a scripted network, on a clock that is moved.
+"""Hosts that exchange real messages over a scripted network, on a manual clock.
 
-Nothing is sent: datagrams are delivered by the script, which also decides who hears
-whom.  Faults of hundreds of hosts are so played in one process.
+Nothing is sent over sockets: the script delivers the datagrams, and also decides which
+hosts reach each other.  It runs faults of hundreds of hosts in one process.
 """
 
 import heapq
@@ -14,19 +14,20 @@
 
 DOMAINS = "abc"
 LOST_SHARE = 0.1
-# From 1 ms in a failure domain to what a busy host needs to read a datagram.
+# From 1 ms within a failure domain to the delay of a busy host that reads a datagram
+# late.
 LEAST_DELAY_S = 0.001
 MOST_DELAY_S = 0.05
-# The three first addresses that each host is given.
+# Number of first addresses that each host is given.
 FIRST_COUNT = 3
 
 
-class _NothingLeft(Exception):  # noqa: N818 - ends a receiver, and is no error
+class _QueueEmpty(Exception):  # noqa: N818 - ends a receiver, not an error
     """All delivered datagrams have been read."""
 
 
 class _FakeSocket:
-    """Takes what one host sends, and gives what was delivered to it."""
+    """Sends over the scripted network, and returns what was delivered to one host."""
 
     def __init__(self, fleet, host):
         self._fleet = fleet
@@ -34,13 +35,13 @@
         self.delivered = []
 
     async def sendto(self, data, destination):
-        """Hand a datagram to the network."""
-        self._fleet.post(self._host, destination, data)
+        """Send a datagram over the scripted network."""
+        self._fleet.transmit(self._host, destination, data)
 
     async def recvfrom(self, size_bytes):
         """Return a delivered datagram and its source."""
         if not self.delivered:
-            raise _NothingLeft
+            raise _QueueEmpty
         return self.delivered.pop(0)
 
 
@@ -51,10 +52,10 @@
     ----------
     domain : str
         Its failure domain.
-    news : PeerNews
-        Its real news.
+    gossip : PeerGossip
+        Its real gossip.
     is_up : bool
-        False once it was killed.
+        False once it has been killed.
     """
 
     def __init__(self, fleet, number, domain, first_peers):
@@ -81,14 +82,14 @@
     Parameters
     ----------
     build : callable
-        Called with the fleet and each new `ScriptedHost`; sets ``news.describe`` and
-        whatever takes the news.
+        Called with the fleet and each new `ScriptedHost`; sets ``gossip.describe`` and
+        the consumers of messages.
     host_count : int
-        Hosts at the beginning, dealt out to the failure domains in turn.
+        Hosts at the beginning, assigned to the failure domains round-robin.
     seed : int
-        Of everything that is drawn.
+        Seed of all random draws.
     lost_share : float
-        Part of the datagrams that is lost.
+        Fraction of the datagrams that is lost.
     """
 
     def __init__(self, build, host_count, seed=1, lost_share=LOST_SHARE):
@@ -100,7 +101,8 @@
         self._build = build
         self._lost_share = lost_share
         self._by_address = {}
-        # Draws for each path, as hosts send to sets of others in no certain order.
+        # One generator for each path, as hosts send to sets of others in no defined
+        # order.
         self._seed = seed
         self._draws = {}
         self._cut = set()
@@ -109,11 +111,11 @@
         self.join(host_count)
 
     def at(self, at_s, act, *arguments):
-        """Do something at a time, seconds since the start."""
+        """Call a function at a time, seconds since the start."""
         heapq.heappush(self._events, (at_s, next(self._order), act, arguments))
 
     def after(self, wait_s, act, *arguments):
-        """Do something after a time, seconds."""
+        """Call a function after a time, seconds."""
         self.at(self.now_s() + wait_s, act, *arguments)
 
     def now_s(self):
@@ -121,7 +123,7 @@
         return self.clock.monotonic_s()
 
     def run(self, to_s):
-        """Play until a time since the start, seconds."""
+        """Run until a time since the start, seconds."""
         while self._events and self._events[0][0] <= to_s:
             at_s, _, act, arguments = heapq.heappop(self._events)
             self.clock.advance(max(0.0, at_s - self.now_s()))
@@ -129,7 +131,7 @@
         self.clock.advance(to_s - self.now_s())
 
     def join(self, count):
-        """Start hosts that know nothing but the first addresses."""
+        """Start hosts that know the first addresses only."""
         for _ in range(count):
             number = len(self.hosts)
             first = [address_of(one) for one in range(FIRST_COUNT)]
@@ -138,16 +140,16 @@
             self.hosts.append(host)
             self._by_address[host.address.host, host.address.port] = host
             self._build(self, host)
-            # Hosts that start together do not send together for ever.
-            self.after(self.random.random() * 0.1, self._tell, host)
+            # Spread the rounds of hosts that start together.
+            self.after(self.random.random() * 0.1, self._run_rounds, host)
 
     def kill(self, hosts):
-        """End hosts for good."""
+        """End hosts permanently."""
         for host in hosts:
             host.is_up = False
 
     def cut(self, domain, other):
-        """Let two failure domains hear nothing of each other."""
+        """Cut two failure domains off from each other."""
         self._cut.add(frozenset((domain, other)))
 
     def heal(self):
@@ -158,8 +160,8 @@
         """Return the hosts that are up."""
         return [host for host in self.hosts if host.is_up]
 
-    def post(self, source, destination, data):
-        """Take a datagram to a host, unless it is lost or cut off."""
+    def transmit(self, source, destination, data):
+        """Deliver a datagram to a host, unless it is lost or the path is cut."""
         self.sent_bytes += len(data)
         host = self._by_address.get(destination)
         if host is None or frozenset((source.domain, host.domain)) in self._cut:
@@ -181,26 +183,26 @@
     def _deliver(self, host, data, sender):
         if host.is_up:
             host.socket.delivered.append((data, sender))
-            _play(host.news._receive_forever())
+            _run_until_blocked(host.news._receive_forever())
 
-    def _tell(self, host):
+    def _run_rounds(self, host):
         if host.is_up:
-            host.news._forget_silent()
-            _play(host.news._look())
-            self.after(host.news.round_wait_s(), self._tell, host)
+            host.news._forget_silent_peers()
+            _run_until_blocked(host.news._send_when_due())
+            self.after(host.news.round_wait_s(), self._run_rounds, host)
 
 
 def address_of(number):
-    """Return the address of a host; nothing is bound to it."""
+    """Return the address of a host; no socket is bound to it."""
     return Address("127.0.0.1", 10_000 + number)
 
 
-def _play(coroutine):
-    """Run a coroutine that waits for nothing but fake sockets."""
+def _run_until_blocked(coroutine):
+    """Run a coroutine until it ends or has read all delivered datagrams."""
     try:
         coroutine.send(None)
-    except (StopIteration, _NothingLeft):
+    except (StopIteration, _QueueEmpty):
         return
     finally:
         coroutine.close()
-    raise AssertionError("a coroutine waits for something that is not scripted")
+    raise AssertionError("coroutine waits for something other than a fake socket")
--- a/siskinthread/peer_news/tests/test_peers.py
+++ b/siskinthread/peer_news/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""News between entry hosts over loopback."""
+"""Gossip between entry hosts over loopback."""
 
 import json
 import random
@@ -20,13 +20,13 @@
     SuspectsReading,
     TableReading,
 )
-from siskinthread.peer_news._listing_news import (
-    decode_listing_news,
-    encode_listing_news,
-    LISTING_NEWS_PREFIX,
+from siskinthread.peer_news._listing_message import (
+    decode_listing_message,
+    encode_listing_message,
+    LISTING_PREFIX,
 )
-from siskinthread.peer_news._outages import decode_outage_news
-from siskinthread.peer_news._speeds import SPEEDS_TOLD_LIMIT
+from siskinthread.peer_news._outages import decode_outage_message
+from siskinthread.peer_news._speeds import SPEEDS_LIMIT
 from siskinthread.poison_requests import (
     EndStatement,
     PoisonRegister,
@@ -60,10 +60,10 @@
 
 
 def build(address, first_peers, state, domain="a", clock=SYSTEM_CLOCK):
-    """Return the news of one host."""
-    news = PeerNews(SETTINGS, address, domain, first_peers, clock, random.Random(1))
-    news.describe = lambda: state
-    return news
+    """Return the gossip of one host."""
+    gossip = PeerNews(SETTINGS, address, domain, first_peers, clock, random.Random(1))
+    gossip.describe = lambda: state
+    return gossip
 
 
 async def until(condition):
@@ -73,8 +73,8 @@
             await curio.sleep(0.005)
 
 
-def test_hosts_learn_of_one_another_by_one_that_they_know():
-    """Three hosts that know only the first one hear of all loads and versions."""
+def test_hosts_discover_each_other_through_a_first_peer():
+    """Three hosts that know the first one only learn all loads and versions."""
 
     async def main():
         addresses = free_addresses(3)
@@ -97,40 +97,44 @@
     assert informed == [addresses[2], addresses[1]]
 
 
-def test_silent_host_does_not_count_for_long():
-    """Symptom: targets look busy that are idle.
+def test_loads_of_silent_host_expire():
+    """Guards against idle targets that look busy.
 
-    Events: an entry host with requests under way loses its power.
+    An entry host with requests under way loses its power.
     """
     clock = ManualClock()
     here, there = Address("127.0.0.1", 1), Address("127.0.0.1", 2)
-    news = build(here, [], None, clock=clock)
-    news._take(News(there, "a", HostState(5, True, {"i-1": 4}), []))
-    assert news.counts("i-1") == 4
+    gossip = build(here, [], None, clock=clock)
+    gossip._take(News(there, "a", HostState(5, True, {"i-1": 4}), []))
+    assert gossip.counts("i-1") == 4
     clock.advance(SETTINGS.fresh_limit_s + 0.01)
-    assert news.counts("i-1") == 0
-    assert news.newest_version() == 0
-    assert not news.has_fresh_loads()
+    assert gossip.counts("i-1") == 0
+    assert gossip.newest_version() == 0
+    assert not gossip.has_fresh_loads()
     clock.advance(SETTINGS.forget_after_s)
-    news._forget_silent()
-    assert not news._peers
+    gossip._forget_silent_peers()
+    assert not gossip._peers
 
 
 @given(st.binary(max_size=100))
-def test_any_datagram_is_news_or_an_error(data):
-    """Nothing that arrives ends the task that reads."""
+def test_any_datagram_decodes_or_raises_protocol_error(data):
+    """No datagram ends the task that receives messages."""
     with pytest.raises(ProtocolError):
         News.decode(data)
 
 
-def test_news_come_back_as_they_were_sent():
-    """A datagram holds everything."""
+def test_message_round_trip():
+    """A decoded message holds what was encoded."""
     peer = Address("10.0.0.1", 7340)
     listing = ListStatement(Position(4, 70), 2**47, 0.25)
     sent = HostState(3, True, {"i-1": 2}, listing, ["g-1"])
-    news = News.decode(News(peer, "b", sent, [peer]).encode())
-    state, listing = news.state, news.state.listing
-    assert (news.sender, news.failure_domain, news.peers) == (peer, "b", [peer])
+    message = News.decode(News(peer, "b", sent, [peer]).encode())
+    state, listing = message.state, message.state.listing
+    assert (message.sender, message.failure_domain, message.peers) == (
+        peer,
+        "b",
+        [peer],
+    )
     assert (state.table_version, state.is_informed) == (3, True)
     assert (state.counts, state.stalled_groups) == ({"i-1": 2}, ["g-1"])
     assert (listing.position.era, listing.position.offset) == (4, 70)
@@ -138,91 +142,95 @@
 
 
 def test_first_informed_host_of_a_domain_reads_for_it():
-    """Symptom: every host pays for reading the same list, or none reads it.
+    """Guards against a list that every host reads, or that no host reads.
 
-    Events: hosts of two failure domains tell of themselves; the first one is cut off,
-    then falls silent.
+    Hosts of two failure domains send their state; the first one is cut off from the
+    source, then falls silent.
     """
     clock = ManualClock()
     here = Address("10.0.0.5", 1)
-    news = build(here, [], None, clock=clock)
-    assert news.is_reader()
-    news._take(News(Address("10.0.0.1", 1), "b", HostState(1, True, {}), []))
-    news._take(News(Address("10.0.0.9", 1), "a", HostState(1, True, {}), []))
-    assert news.is_reader()
+    gossip = build(here, [], None, clock=clock)
+    assert gossip.is_reader()
+    gossip._take(News(Address("10.0.0.1", 1), "b", HostState(1, True, {}), []))
+    gossip._take(News(Address("10.0.0.9", 1), "a", HostState(1, True, {}), []))
+    assert gossip.is_reader()
     first = Address("10.0.0.2", 1)
-    news._take(News(first, "a", HostState(1, True, {}), []))
-    assert not news.is_reader()
-    news._take(News(first, "a", HostState(1, False, {}), []))
-    assert news.is_reader()
-    news._take(News(first, "a", HostState(1, True, {}), []))
+    gossip._take(News(first, "a", HostState(1, True, {}), []))
+    assert not gossip.is_reader()
+    gossip._take(News(first, "a", HostState(1, False, {}), []))
+    assert gossip.is_reader()
+    gossip._take(News(first, "a", HostState(1, True, {}), []))
     clock.advance(SETTINGS.fresh_limit_s + 0.01)
-    assert news.is_reader()
+    assert gossip.is_reader()
 
 
 def test_first_informed_hosts_of_a_domain_read_the_configuration():
-    """Guards against failure domains with no reader, or with many."""
-    news = build(Address("10.0.0.5", 1), [], None)
-    assert news.is_table_reader(2)
-    news._take(News(Address("10.0.0.1", 1), "a", HostState(1, True, {}), []))
-    news._take(News(Address("10.0.0.2", 1), "a", HostState(1, False, {}), []))
-    news._take(News(Address("10.0.0.3", 1), "b", HostState(1, True, {}), []))
-    news._take(News(Address("10.0.0.9", 1), "a", HostState(1, True, {}), []))
-    assert news.is_table_reader(2)
-    assert not news.is_table_reader(1)
-    assert news.near_count() == 3
-    news._take(News(Address("10.0.0.2", 1), "a", HostState(1, True, {}), []))
-    assert not news.is_table_reader(2)
+    """Guards against failure domains with no reader, or with too many."""
+    gossip = build(Address("10.0.0.5", 1), [], None)
+    assert gossip.is_table_reader(2)
+    gossip._take(News(Address("10.0.0.1", 1), "a", HostState(1, True, {}), []))
+    gossip._take(News(Address("10.0.0.2", 1), "a", HostState(1, False, {}), []))
+    gossip._take(News(Address("10.0.0.3", 1), "b", HostState(1, True, {}), []))
+    gossip._take(News(Address("10.0.0.9", 1), "a", HostState(1, True, {}), []))
+    assert gossip.is_table_reader(2)
+    assert not gossip.is_table_reader(1)
+    assert gossip.near_count() == 3
+    gossip._take(News(Address("10.0.0.2", 1), "a", HostState(1, True, {}), []))
+    assert not gossip.is_table_reader(2)
 
 
 def test_first_informed_host_of_all_domains_reads_the_list_for_their_readers():
     """Guards against readers of failure domains that all wait, or all read."""
-    news = build(Address("10.0.0.5", 1), [], None)
-    assert news.is_first_reader()
-    news._take(News(Address("10.0.0.6", 1), "b", HostState(1, True, {}), []))
-    news._take(News(Address("10.0.0.7", 1), "b", HostState(1, True, {}), []))
-    news._take(News(Address("10.0.0.3", 1), "c", HostState(1, False, {}), []))
-    assert news.is_first_reader()
-    assert news.far_readers() == [Address("10.0.0.6", 1)]
-    news._take(News(Address("10.0.0.3", 1), "c", HostState(1, True, {}), []))
-    assert not news.is_first_reader()
-    assert set(news.far_readers()) == {Address("10.0.0.3", 1), Address("10.0.0.6", 1)}
-
-
-def test_readings_come_over_and_never_younger():
-    """Guards against a reading that is believed for longer by each hand it passes."""
+    gossip = build(Address("10.0.0.5", 1), [], None)
+    assert gossip.is_first_reader()
+    gossip._take(News(Address("10.0.0.6", 1), "b", HostState(1, True, {}), []))
+    gossip._take(News(Address("10.0.0.7", 1), "b", HostState(1, True, {}), []))
+    gossip._take(News(Address("10.0.0.3", 1), "c", HostState(1, False, {}), []))
+    assert gossip.is_first_reader()
+    assert gossip.far_readers() == [Address("10.0.0.6", 1)]
+    gossip._take(News(Address("10.0.0.3", 1), "c", HostState(1, True, {}), []))
+    assert not gossip.is_first_reader()
+    assert set(gossip.far_readers()) == {Address("10.0.0.3", 1), Address("10.0.0.6", 1)}
+
+
+def test_ages_of_readings_are_rounded_up():
+    """Guards against a reading that looks younger after each hop."""
     suspects = SuspectsReading(Position(4, 9), 0.1004)
     reading = TableReading(Position(4, 70), 3, 0.2504, suspects)
     state = HostState(3, True, {}, table_reading=reading)
     data = News(Address("10.0.0.1", 1), "a", state, []).encode()
-    told = News.decode(data).state.table_reading
-    assert (told.position.era, told.position.offset, told.version) == (4, 70, 3)
-    assert told.age_s == 0.251
-    assert (told.suspects.position.offset, told.suspects.age_s) == (9, 0.101)
+    decoded = News.decode(data).state.table_reading
+    assert (decoded.position.era, decoded.position.offset, decoded.version) == (
+        4,
+        70,
+        3,
+    )
+    assert decoded.age_s == 0.251
+    assert (decoded.suspects.position.offset, decoded.suspects.age_s) == (9, 0.101)
     listing = ListStatement(Position(4, 70), 5, 0.2504)
-    assert decode_listing_news(encode_listing_news(listing)).age_s == 0.251
+    assert decode_listing_message(encode_listing_message(listing)).age_s == 0.251
 
 
 @pytest.mark.parametrize(
     "data", [b"", b"[]", b"[1,2,3]", b'["a",2,3,4]', b"[1,2,3,1e999]", b"[" * 9999]
 )
-def test_unreadable_news_of_a_list_are_refused(data):
-    """Guards against a process that ends by a datagram."""
+def test_unreadable_listing_message_raises_protocol_error(data):
+    """Guards against a process that ends on a malformed datagram."""
     with pytest.raises(ProtocolError):
-        decode_listing_news(LISTING_NEWS_PREFIX + data)
+        decode_listing_message(LISTING_PREFIX + data)
 
 
-def test_reader_tells_its_domain_more_often_than_others_do():
-    """Guards against hosts that read for themselves between two news of a reader."""
+def test_reader_sends_to_its_domain_more_often_than_others():
+    """Guards against hosts that read between two messages of their reader."""
 
     async def main():
         first, other = free_addresses(2)
         values = {"interval_s": 0.01, "quiet_interval_s": 5.0}
         settings = SETTINGS.with_values(**values, reading_interval_s=0.05)
-        heard = []
+        received = []
 
-        async def take(reading, teller):
-            heard.append((reading.position.offset, teller))
+        async def take(reading, sender):
+            received.append((reading.position.offset, sender))
 
         reading = TableReading(Position(1, 7), 1, 0.0)
         states = [HostState(1, True, {}, table_reading=reading), HostState(1, True, {})]
@@ -234,161 +242,161 @@
             hosts.append(host)
         hosts[1].take_reading = take
         tasks = [await curio.spawn(host.run) for host in hosts]
-        await until(lambda: len(heard) >= 4)
+        await until(lambda: len(received) >= 4)
         for task in tasks:
             await task.cancel()
-        return heard[0] == (7, first)
+        return received[0] == (7, first)
 
     assert curio.run(main)
 
 
 def test_datagram_does_not_grow_with_the_number_of_peers():
-    """Symptom: datagrams of a large fleet exceed their limit and are cut."""
-    news = build(Address("10.0.0.1", 1), [], None)
+    """Guards against datagrams of a large fleet that exceed the size limit."""
+    gossip = build(Address("10.0.0.1", 1), [], None)
     for number in range(300):
         sender = Address(f"10.0.{number // 250 + 1}.{number % 250}", 1)
-        news._take(News(sender, "a", HostState(1, True, {}), []))
-    assert len(news._some_peers()) == SETTINGS.peers_told_count
+        gossip._take(News(sender, "a", HostState(1, True, {}), []))
+    assert len(gossip._sample_peers()) == SETTINGS.peers_told_count
 
 
-def test_rare_news_of_a_large_fleet_count_for_versions_but_not_as_loads():
-    """Symptom: targets look idle that are busy.
+def test_rare_messages_of_a_large_fleet_count_for_versions_but_not_as_loads():
+    """Guards against busy targets that look idle.
 
-    Events: with 300 peers each is heard of every 4 s.  Cause: the few loads that are
-    fresh at a moment were taken for those of all.
+    With 300 peers, each sends a message every 4 s.  The few loads that are fresh at a
+    moment must not be taken for those of all peers.
     """
     clock = ManualClock()
-    news = build(Address("10.0.0.1", 1), [], None, clock=clock)
+    gossip = build(Address("10.0.0.1", 1), [], None, clock=clock)
     for number in range(300):
         sender = Address(f"10.0.{number // 250 + 1}.{number % 250}", 1)
-        news._take(News(sender, "a", HostState(4, True, {"i-1": 1}), []))
-    assert not news.has_fresh_loads()
+        gossip._take(News(sender, "a", HostState(4, True, {"i-1": 1}), []))
+    assert not gossip.has_fresh_loads()
     clock.advance(SETTINGS.fresh_limit_s + 0.01)
-    assert news.newest_version() == 4
+    assert gossip.newest_version() == 4
 
 
-class NotingSocket:
-    """A socket that notes to whom datagrams go."""
+class RecordingSocket:
+    """Records the hosts to which datagrams are sent."""
 
     def __init__(self):
         self.hosts = []
 
     async def sendto(self, data, address):
-        """Note a datagram."""
+        """Record the destination of a datagram."""
         self.hosts.append(address[0])
 
 
-def test_large_fleet_tells_its_own_domain_soon_and_others_at_the_quiet_rate():
-    """Symptom: half of the bytes between failure domains are news."""
+def test_large_fleet_sends_to_own_domain_at_full_rate_and_others_at_quiet_rate():
+    """Guards against gossip that makes up half of the bytes between domains."""
     others = [f"10.0.1.{number}" for number in range(SETTINGS.peers_at_full_rate + 2)]
     near = others[:2]
 
     async def main():
-        news = build(Address("10.0.0.1", 1), [], HostState(1, True, {}))
+        gossip = build(Address("10.0.0.1", 1), [], HostState(1, True, {}))
         for host in others:
             domain = "a" if host in near else "b"
-            news._take(News(Address(host, 1), domain, HostState(1, True, {}), []))
+            gossip._take(News(Address(host, 1), domain, HostState(1, True, {}), []))
         sent = []
         for count in (1, 2):
-            news.describe = lambda count=count: HostState(1, True, {"i-1": count})
-            news._socket = NotingSocket()
-            await news._send_if_due()
-            sent.append(sorted(news._socket.hosts))
+            gossip.describe = lambda count=count: HostState(1, True, {"i-1": count})
+            gossip._socket = RecordingSocket()
+            await gossip._run_round()
+            sent.append(sorted(gossip._socket.hosts))
         return sent
 
     assert curio.run(main) == [sorted(others), near]
 
 
-def test_fleet_is_as_large_as_it_ever_was():
-    """Symptom: entries behind a cut take parts of a shared limit that are others'.
+def test_fleet_count_never_falls():
+    """Guards against entries that use the others' parts of a shared limit during a cut.
 
-    Events: an entry has heard of three others; two of them fall silent and are
-    forgotten.  Cause: limits were divided by the number that is known at the moment.
+    An entry knows three others; two of them fall silent and are forgotten.  The limit
+    must not be divided by the number that is known at the moment.
     """
     clock = ManualClock()
     here, *others = [Address("127.0.0.1", port) for port in range(1, 5)]
-    news = build(here, others[:1], None, clock=clock)
-    assert news.fleet_count() is None
+    gossip = build(here, others[:1], None, clock=clock)
+    assert gossip.fleet_count() is None
     clock.advance(SETTINGS.fleet_settle_s)
-    assert news.fleet_count() is None
-    news._take(News(others[0], "a", HostState(5, True, {}), others))
-    assert news.fleet_count() == 4
+    assert gossip.fleet_count() is None
+    gossip._take(News(others[0], "a", HostState(5, True, {}), others))
+    assert gossip.fleet_count() == 4
     clock.advance(SETTINGS.forget_after_s)
-    news._forget_silent()
-    assert news.fleet_count() == 4
+    gossip._forget_silent_peers()
+    assert gossip.fleet_count() == 4
 
 
-def test_entry_that_is_the_only_one_needs_no_news():
+def test_only_entry_needs_no_messages():
     """Without others in the settings, an entry has all limits from its start."""
     here = Address("127.0.0.1", 1)
     assert build(here, [here], None).fleet_count() == 1
 
 
 def test_entries_with_the_fastest_links_are_the_first_of_their_domain():
-    """Symptom: a map takes half a second to be sent to all ranks.
+    """Guards against a map that takes half a second to be sent to all ranks.
 
-    Events: the entry that controls their group has one of the slow links.
+    That happens if the entry that controls their group has a slow link.
     """
     clock = ManualClock()
-    news = build(Address("10.0.0.5", 1), [], HostState(1, True, {}), clock=clock)
-    news.link_mbps = 40.0
+    gossip = build(Address("10.0.0.5", 1), [], HostState(1, True, {}), clock=clock)
+    gossip.link_mbps = 40.0
     state = HostState(1, True, {})
     for host, domain, link_mbps in [
         ("10.0.0.9", "a", 200.0),
         ("10.0.0.8", "a", 40.0),
         ("10.0.0.1", "b", 200.0),
     ]:
-        news._take(News(Address(host, 1), domain, state, [], link_mbps))
-    assert not news.is_among_first(1)
-    assert news.is_among_first(2)
-    assert news.heard_domains() == {"a", "b"}
+        gossip._take(News(Address(host, 1), domain, state, [], link_mbps))
+    assert not gossip.is_among_first(1)
+    assert gossip.is_among_first(2)
+    assert gossip.heard_domains() == {"a", "b"}
     clock.advance(SETTINGS.fresh_limit_s + 1.0)
-    assert news.is_among_first(1)
+    assert gossip.is_among_first(1)
 
 
-def test_failure_domain_is_there_though_two_of_its_sums_are_lost():
-    """Symptom: two entries change the maps of one group, and hinder one another.
+def test_failure_domain_stays_reachable_when_two_sums_are_lost():
+    """Guards against two entries that change the maps of one group concurrently.
 
-    Events: another failure domain is heard of once a second; two datagrams are lost.
+    Another failure domain sends one datagram a second, and two of them are lost.
     """
     clock = ManualClock()
-    news = build(Address("10.0.0.5", 1), [], HostState(1, True, {}), clock=clock)
+    gossip = build(Address("10.0.0.5", 1), [], HostState(1, True, {}), clock=clock)
     state = HostState(1, True, {})
-    news._take(News(Address("10.0.1.1", 1), "b", state, [], 200.0))
+    gossip._take(News(Address("10.0.1.1", 1), "b", state, [], 200.0))
     clock.advance(3 * SETTINGS.quiet_interval_s)
-    assert news.heard_domains() == {"b"}
+    assert gossip.heard_domains() == {"b"}
     clock.advance(SETTINGS.domain_memory_s)
-    assert news.heard_domains() == set()
+    assert gossip.heard_domains() == set()
 
 
-def test_newest_time_of_a_pass_counts_for_a_moment():
-    """What a peer told long ago says nothing of the pass under way."""
+def test_newest_pass_time_expires():
+    """A pass time that was received long ago says nothing of the current pass."""
     clock = ManualClock()
-    news = build(Address("10.0.0.5", 1), [], None, clock=clock)
+    gossip = build(Address("10.0.0.5", 1), [], None, clock=clock)
     for port, pass_s in ((1, 0.05), (2, 0.12)):
         state = HostState(1, True, {}, passes_s={"g": pass_s})
         sender = Address("10.0.0.1", port)
-        news._take(News.decode(News(sender, "a", state, []).encode()))
+        gossip._take(News.decode(News(sender, "a", state, []).encode()))
         clock.advance(0.1)
-    assert news.newest_pass("g")[0] == 0.12
-    assert news.newest_pass("h") is None
+    assert gossip.newest_pass("g")[0] == 0.12
+    assert gossip.newest_pass("h") is None
     clock.advance(SETTINGS.pass_fresh_s)
-    assert news.newest_pass("g") is None
+    assert gossip.newest_pass("g") is None
 
 
 def test_outage_of_the_store_makes_nobody_else_a_candidate():
-    """Symptom: three domains change the maps of one group at once.
+    """Guards against three domains that change the maps of one group at once.
 
-    Events: the store is away, so that no host is informed.  Cause: each host then took
-    itself for the first.
+    The store is unavailable, so that no host is informed.  An uninformed host must not
+    put itself first.
     """
     clock = ManualClock()
     own_state = HostState(1, False, {})
-    news = build(Address("10.0.0.5", 1), [], own_state, clock=clock)
-    news._take(News(Address("10.0.0.1", 1), "a", own_state, []))
-    assert not news.is_among_first(1)
-    news.describe = lambda: HostState(1, True, {})
-    assert news.is_among_first(1)
+    gossip = build(Address("10.0.0.5", 1), [], own_state, clock=clock)
+    gossip._take(News(Address("10.0.0.1", 1), "a", own_state, []))
+    assert not gossip.is_among_first(1)
+    gossip.describe = lambda: HostState(1, True, {})
+    assert gossip.is_among_first(1)
 
 
 def suspects(count):
@@ -397,27 +405,27 @@
     return [SuspectStatement(f"{number:024x}", ends) for number in range(count)]
 
 
-def test_suspected_requests_survive_the_way():
-    """What peers are told of requests that end targets is what was known."""
+def test_suspected_requests_round_trip():
+    """A decoded message holds the suspected requests that were encoded."""
     address = Address("10.0.0.1", 1)
-    told = News(address, "a", HostState(1, True, {}), [], suspects=suspects(3))
-    read = News.decode(told.encode())
+    message = News(address, "a", HostState(1, True, {}), [], suspects=suspects(3))
+    read = News.decode(message.encode())
     assert [one.key() for one in read.suspects] == [one.key() for one in suspects(3)]
 
 
-def test_news_that_would_not_fit_leave_suspected_requests_out():
-    """Symptom: with many targets, peers hear nothing at all while servers end.
+def test_oversized_message_leaves_suspected_requests_out():
+    """Guards against peers that receive nothing while many targets end.
 
-    Events: the counts of 192 targets and 16 suspected requests are more than a datagram
-    may hold; cut off by its size, it can't be read.
+    The counts of 192 targets and 16 suspected requests exceed the size of a datagram; a
+    truncated datagram can't be decoded.
     """
     counts = {f"i-{number:010x}@1781159968551": 12 for number in range(192)}
     state = HostState(1, True, counts)
     address = Address("10.0.0.1", 1)
-    told = News(address, "a", state, [], suspects=suspects(16))
+    message = News(address, "a", state, [], suspects=suspects(16))
     limit_bytes = PeerNewsSettings().size_limit_bytes
-    data = told.encode(limit_bytes)
-    assert len(told.encode()) > limit_bytes >= len(data)
+    data = message.encode(limit_bytes)
+    assert len(message.encode()) > limit_bytes >= len(data)
     read = News.decode(data)
     assert read.state.counts == counts
     first = [one.key() for one in suspects(16)]
@@ -426,20 +434,20 @@
 
 
 @pytest.mark.parametrize("value", [[], 7, {"5f0c": 7}, {"5f0c": [["a", "b"]]}, "x"])
-def test_unreadable_suspected_requests_are_an_error_of_the_protocol(value):
-    """Another version of the program must not end the task that takes news."""
-    news = News(Address("10.0.0.1", 1), "a", HostState(1, True, {}), [])
-    document = json.loads(news.encode()) | {"suspects": value}
+def test_unreadable_suspected_requests_raise_protocol_error(value):
+    """A message of another program version must not end the receiving task."""
+    message = News(Address("10.0.0.1", 1), "a", HostState(1, True, {}), [])
+    document = json.loads(message.encode()) | {"suspects": value}
     with pytest.raises(ProtocolError):
         News.decode(json.dumps(document).encode())
 
 
 @pytest.mark.parametrize("teller", [0, 2, 5])
-def test_suspected_request_reaches_all_domains_of_a_crowd(teller):
-    """Symptom: in a large fleet, a request that ends targets goes on in other domains.
+def test_suspected_request_reaches_all_domains_of_a_large_fleet(teller):
+    """Guards against a request that goes on to end targets in other domains.
 
-    Events: there are so many hosts that each tells those of its own domain only, and
-    the first host of a domain one host of each other one; any of them sees the ends.
+    In a large fleet each host sends to those of its own domain only, and the first host
+    of a domain to one host of each other one.  Any host may observe the ends.
     """
     crowd = PeerNewsSettings(
         interval_s=0.01,
@@ -454,7 +462,7 @@
         addresses = free_addresses(6)
         hosts = []
         for number, address in enumerate(addresses):
-            news = PeerNews(
+            gossip = PeerNews(
                 crowd,
                 address,
                 "ab"[number % 2],
@@ -462,9 +470,9 @@
                 SYSTEM_CLOCK,
                 random.Random(number),
             )
-            news.describe = lambda: HostState(1, True, {})
-            news.poison = PoisonRegister(PoisonSettings(), SYSTEM_CLOCK)
-            hosts.append(news)
+            gossip.describe = lambda: HostState(1, True, {})
+            gossip.poison = PoisonRegister(PoisonSettings(), SYSTEM_CLOCK)
+            hosts.append(gossip)
         tasks = [await curio.spawn(host.run) for host in hosts]
         await until(lambda: all(len(host._peers) == 5 for host in hosts))
         for number in range(3):
@@ -477,7 +485,7 @@
 
 
 def limits(count):
-    """Return what a host tells of as many limited targets."""
+    """Return the statements of a host on a number of limited targets."""
     return [
         LimitStatement(f"i-{number}", "app", None if number == 1 else 2.5, 0.25)
         for number in range(count)
@@ -492,16 +500,16 @@
     ]
 
 
-def test_limits_of_targets_survive_the_way():
-    """A datagram holds the limits, and what callers ask the sender for."""
+def test_limits_of_targets_round_trip():
+    """A decoded message holds the limits, and the demand at the sender."""
     state = HostState(1, True, {}, limits=limits(2), asked_rates={"app": 12.5})
-    told = News.decode(News(Address("10.0.0.1", 1), "a", state, []).encode())
-    assert limit_rows(told.state) == limit_rows(state)
-    assert told.state.asked_rates == {"app": 12.5}
+    decoded = News.decode(News(Address("10.0.0.1", 1), "a", state, []).encode())
+    assert limit_rows(decoded.state) == limit_rows(state)
+    assert decoded.state.asked_rates == {"app": 12.5}
 
 
-def test_backoffs_and_leaving_of_targets_survive_the_way():
-    """A datagram tells what targets have said of themselves to its sender."""
+def test_backoffs_and_leaving_of_targets_round_trip():
+    """A decoded message holds what targets have announced to its sender."""
     state = HostState(
         1,
         True,
@@ -510,18 +518,18 @@
         leaving=[LeavingStatement("i-2", 0.5)],
         cold=[ColdStatement("i-3", 3.5)],
     )
-    told = News.decode(News(Address("10.0.0.1", 1), "a", state, []).encode())
-    [backoff] = told.state.backoffs
+    decoded = News.decode(News(Address("10.0.0.1", 1), "a", state, []).encode())
+    [backoff] = decoded.state.backoffs
     assert (backoff.instance_id, backoff.left_s) == ("i-1", 2.75)
-    [leaving] = told.state.leaving
+    [leaving] = decoded.state.leaving
     assert (leaving.instance_id, leaving.age_s) == ("i-2", 0.5)
-    [cold] = told.state.cold
+    [cold] = decoded.state.cold
     assert (cold.instance_id, cold.left_s) == ("i-3", 3.5)
-    assert not told.state.looks_like(HostState(1, True, {}))
+    assert not decoded.state.looks_like(HostState(1, True, {}))
 
 
-def test_news_that_would_not_fit_leave_limits_out():
-    """Symptom: a host is silent for all others once many targets name a limit."""
+def test_oversized_message_leaves_limits_out():
+    """Guards against a host that all others lose once many targets state a limit."""
     counts = {f"i-{number:010}": 1 for number in range(420)}
     state = HostState(1, True, counts, limits=limits(48))
     data = News(Address("10.0.0.1", 1), "a", state, []).encode(8192)
@@ -529,8 +537,11 @@
     assert 0 < len(News.decode(data).state.limits) < 48
 
 
-def test_news_that_would_not_fit_tell_of_leaving_targets_last():
-    """A host was silent for all others once many targets were backed off or left."""
+def test_oversized_message_keeps_leaving_targets_longest():
+    """Guards against a host that all others lose once many targets back off or leave.
+
+    Limits are left out first, and leaving targets are kept.
+    """
     counts = {f"i-{number:010}": 1 for number in range(440)}
     state = HostState(
         1,
@@ -542,8 +553,8 @@
     )
     data = News(Address("10.0.0.1", 1), "a", state, []).encode(8192)
     assert len(data) <= 8192
-    told = News.decode(data).state
-    assert (told.limits, len(told.leaving)) == ([], 32)
+    decoded = News.decode(data).state
+    assert (decoded.limits, len(decoded.leaving)) == ([], 32)
 
 
 @pytest.mark.parametrize(
@@ -565,35 +576,35 @@
         {"roster": "all"},
     ],
 )
-def test_unreadable_limits_are_an_error_of_the_protocol(fields):
-    """Symptom: the task that reads news ends by a datagram."""
-    news = News(Address("10.0.0.1", 1), "a", HostState(1, True, {}), [])
-    document = json.loads(news.encode()) | fields
+def test_unreadable_fields_raise_protocol_error(fields):
+    """Guards against a receiving task that ends on a malformed datagram."""
+    message = News(Address("10.0.0.1", 1), "a", HostState(1, True, {}), [])
+    document = json.loads(message.encode()) | fields
     with pytest.raises(ProtocolError):
         News.decode(json.dumps(document).encode())
 
 
-def test_rates_of_other_domains_come_as_sums():
-    """What callers ask for counts once, whether told by hosts or for their domain."""
+def test_rates_of_other_domains_are_counted_as_sums():
+    """Demand counts once, whether it is sent by hosts or as the sum of their domain."""
     clock = ManualClock()
-    news = build(Address("10.0.0.1", 1), [], HostState(1, True, {}), clock=clock)
+    gossip = build(Address("10.0.0.1", 1), [], HostState(1, True, {}), clock=clock)
     near = HostState(1, True, {}, asked_rates={"app": 2.0})
-    news._take(News(Address("10.0.0.2", 1), "a", near, []))
+    gossip._take(News(Address("10.0.0.2", 1), "a", near, []))
     far = HostState(1, True, {}, asked_rates={"app": 7.0}, is_domain_sum=True)
-    news._take(News(Address("10.0.1.1", 1), "b", far, []))
+    gossip._take(News(Address("10.0.1.1", 1), "b", far, []))
     part = HostState(1, True, {}, asked_rates={"app": 3.0})
-    news._take(News(Address("10.0.1.2", 1), "b", part, []))
-    assert news.asked_per_s("app") == 9.0
-    assert news.asked_per_s("other") == 0.0
+    gossip._take(News(Address("10.0.1.2", 1), "b", part, []))
+    assert gossip.asked_per_s("app") == 9.0
+    assert gossip.asked_per_s("other") == 0.0
     own = HostState(1, True, {}, asked_rates={"app": 1.0})
-    told = own.with_domain_sums(news._summary().near)
-    assert told.asked_rates == {"app": 3.0}
+    summed = own.with_domain_sums(gossip._summary().near)
+    assert summed.asked_rates == {"app": 3.0}
     clock.advance(SETTINGS.fresh_limit_s + 0.01)
-    assert news.asked_per_s("app") == 0.0
+    assert gossip.asked_per_s("app") == 0.0
 
 
-def test_hosts_agree_on_whose_turn_it_is():
-    """Each host has its own turn for a target, and not the same for all targets."""
+def test_hosts_agree_on_rendezvous_order():
+    """Hosts have distinct positions for a target, and different ones across targets."""
     addresses = [Address(f"10.0.0.{number}", 1) for number in range(1, 6)]
     hosts = [build(one, [], HostState(1, True, {})) for one in addresses]
     for host in hosts:
@@ -606,19 +617,19 @@
 
 
 def rows_of(statements):
-    """Return what tells statements apart."""
+    """Return the fields of statements, for comparison."""
     return [
         (one.group_name, one.epoch, one.since_s, one.age_s, one.is_reported)
         for one in statements
     ]
 
 
-def test_word_of_a_group_goes_to_all_hosts_beside_the_regular_news():
-    """Symptom: hosts of other failure domains learn of an open group 1 s later.
+def test_group_state_is_sent_to_all_hosts_beside_regular_messages():
+    """Guards against hosts of other domains that learn of an open group 1 s late.
 
-    The sums that they hear once a second must not be displaced by it.
+    The datagram must not displace the sums that they receive once a second.
     """
-    told = [
+    sent = [
         GroupOutageStatement("g", 5, None, 0.25, True),
         GroupOutageStatement("h", None, 1.5, 0.0, False),
     ]
@@ -628,27 +639,27 @@
         state = HostState(1, True, {"i-1": 7}, is_domain_sum=True)
         one = build(addresses[0], [addresses[1]], state, "a")
         two = build(addresses[1], [], HostState(1, True, {}), "b")
-        heard = []
-        two.take_outages = lambda statements, told_by: heard.append(
+        received = []
+        two.take_outages = lambda statements, told_by: received.append(
             (rows_of(statements), told_by)
         )
         tasks = [await curio.spawn(host.run) for host in (one, two)]
         await until(lambda: two.counts("i-1") == 7)
-        heard.clear()
-        await one.tell_outages(told)
-        await until(lambda: any(rows for rows, _ in heard))
+        received.clear()
+        await one.tell_outages(sent)
+        await until(lambda: any(rows for rows, _ in received))
         counts = two.counts("i-1")
         for task in tasks:
             await task.cancel()
-        return counts, [one for one in heard if one[0]], str(addresses[0])
+        return counts, [one for one in received if one[0]], str(addresses[0])
 
-    counts, heard, sender = curio.run(main)
+    counts, received, sender = curio.run(main)
     assert counts == 7
-    assert heard == [(rows_of(told), sender)]
+    assert received == [(rows_of(sent), sender)]
 
 
-def test_groups_that_a_datagram_tells_of_are_bounded():
-    """Symptom: news are cut off by their size, and dropped, in a large outage."""
+def test_group_states_in_a_datagram_are_bounded():
+    """Guards against messages of a large outage that exceed the size limit."""
     statements = [
         GroupOutageStatement(f"group-{number}", 4, 1.0, 0.1, True)
         for number in range(500)
@@ -656,20 +667,20 @@
     state = HostState(1, True, {}, group_outages=statements)
     data = News(Address("127.0.0.1", 1), "a", state, []).encode()
     assert len(data) < 2048
-    told = News.decode(data).state.group_outages
-    assert rows_of(told) == rows_of(statements[: len(told)])
+    decoded = News.decode(data).state.group_outages
+    assert rows_of(decoded) == rows_of(statements[: len(decoded)])
 
 
 @pytest.mark.parametrize("rows", ["1", "[[1]]", '[["g",1,"x",0,1]]', "{}x"])
-def test_unreadable_word_of_groups_is_dropped(rows):
-    """A datagram of whatever content must not end the exchange of news."""
+def test_unreadable_group_states_raise_protocol_error(rows):
+    """A malformed datagram must not end the receiving task."""
     data = f'{{"outages":{rows},"sender":"127.0.0.1:1"}}'.encode()
     with pytest.raises(ProtocolError):
-        decode_outage_news(data)
+        decode_outage_message(data)
 
 
-def test_silent_controller_has_one_heir_until_somebody_controls_its_group():
-    """Symptom: a group has two controllers for long, or none for 4 s."""
+def test_silent_controller_has_one_successor_until_its_group_is_controlled():
+    """Guards against a group with two controllers for long, or with none for 4 s."""
     clock = ManualClock()
     addresses = [Address("127.0.0.1", 1 + number) for number in range(6)]
     gone, *others = addresses
@@ -680,25 +691,25 @@
             if host._address != sender:
                 host._take(News(sender, "a", state, []))
 
-    def heirs():
+    def successors():
         return [host._address for host in hosts if host.is_heir_of("g", 3)]
 
     tell(gone, HostState(1, True, {}, controlled_groups=["g"]))
-    assert heirs() == []
+    assert successors() == []
     clock.advance(SETTINGS.fresh_limit_s + SETTINGS.quiet_interval_s)
     for one in others:
         tell(one, HostState(1, True, {}))
-    (heir,) = heirs()
-    assert heir in others[:3]
-    # The heir goes on while only it controls the group, and until another one does.
-    tell(heir, HostState(1, True, {}, controlled_groups=["g"]))
-    assert heirs() == [heir]
+    (successor,) = successors()
+    assert successor in others[:3]
+    # The successor keeps the group while only it controls the group.
+    tell(successor, HostState(1, True, {}, controlled_groups=["g"]))
+    assert successors() == [successor]
     tell(gone, HostState(1, True, {}, controlled_groups=["g"]))
-    assert heirs() == []
+    assert successors() == []
 
 
 def test_speeds_of_all_targets_do_not_exceed_a_datagram():
-    """News that are cut off by their size bring nothing at all."""
+    """A truncated message can't be decoded at all."""
     targets = [f"i-{number:010x}@1781159968551" for number in range(192)]
     speeds = {
         one: SpeedStatement(8.0, 8.0 * number / 192, age_s=0.1)
@@ -707,13 +718,13 @@
     state = HostState(1, True, dict.fromkeys(targets, 12), speeds=speeds)
     data = News(Address("10.0.0.1", 1), "a", state, []).encode(8192)
     assert len(data) <= 8192
-    told = News.decode(data).state.speeds
-    assert set(told) <= set(targets[-SPEEDS_TOLD_LIMIT:])
+    decoded = News.decode(data).state.speeds
+    assert set(decoded) <= set(targets[-SPEEDS_LIMIT:])
 
 
 @pytest.mark.parametrize("rows", ["x", {"i-1": [1]}, {"i-1": 3}, {"i-1": ["x"] * 7}])
-def test_unreadable_speeds_are_a_protocol_error(rows):
-    """A datagram that can't be read must not end the task that takes it."""
+def test_unreadable_speeds_raise_protocol_error(rows):
+    """A malformed datagram must not end the receiving task."""
     state = HostState(1, True, {})
     document = json.loads(News(Address("10.0.0.1", 1), "a", state, []).encode())
     document["speeds"] = rows
--- a/siskinthread/platform/tests/test_shared_target_reads.py
+++ b/siskinthread/platform/tests/test_shared_target_reads.py
@@ -29,7 +29,7 @@
         async with running_fleet(domains, **fields) as fleet:
             await until(
                 lambda: all(
-                    len(one.peers._heard) == len(fleet.entries) - 1
+                    len(one.peers._senders) == len(fleet.entries) - 1
                     for one in fleet.entries
                 )
             )
