--- a/siskinthread/platform/tests/test_evacuations.py
+++ b/siskinthread/platform/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Failure domains that the operator evacuates and takes back."""
+"""Failure domains that the operator evacuates, and whose evacuation ends again."""
 
 import contextlib
 import time
@@ -8,7 +8,7 @@
 
 from siskinthread.gateway.tests.parts import entry, ids
 from siskinthread.platform._evacuation_records import EvacuationRecords
-from siskinthread.platform._group_control import ranks_to_know
+from siskinthread.platform._group_control import ranks_to_query
 from siskinthread.platform._store_records import KeyedRecord
 from siskinthread.platform.tests.fleet import run_fleet
 from siskinthread.platform.tests.load import Load
@@ -28,14 +28,14 @@
 from standins._http_server import HttpServer
 from standins.platform_behaviours import answer_whole, stream
 
-# Within which no further request reaches an evacuated domain, from the confirmation.
+# Time from the confirmation after which no request may reach an evacuated domain.
 WITHDRAWN_S = 1.0
 USED_AGAIN_S = 2.0
-ASKED_PER_S = 60
+REQUESTS_PER_S = 60
 
 
 class Arrivals:
-    """Serves requests, and notes when they arrive in each failure domain."""
+    """Serves requests, and records their arrivals in each failure domain."""
 
     def __init__(self):
         self.times_s = {}
@@ -51,15 +51,15 @@
         return serve
 
     def between(self, domain, from_s, to_s=float("inf")):
-        """Return the number of requests that arrived in some time."""
+        """Return the number of requests that arrived within a time span."""
         return sum(from_s <= at_s < to_s for at_s in self.times_s[domain])
 
 
 @contextlib.asynccontextmanager
 async def served(fleet, domains):
-    """Put servers into domains, load all present entries; all must be answered.
+    """Assign servers to domains, and load all present entries; all must be answered.
 
-    Entries are in domain a and prefer its servers, so that most tests put none there.
+    Entries are in domain a and prefer its servers, so most tests place none there.
     """
     arrivals = Arrivals()
     for server, domain in zip(fleet.servers, domains, strict=True):
@@ -68,7 +68,7 @@
         await fleet.store.put("keyed.servers", server.instance_id, document)
     for host in fleet.entries:
         await until(lambda host=host: knows_domains(host.gateway, set(domains)))
-    load = Load(fleet, ASKED_PER_S)
+    load = Load(fleet, REQUESTS_PER_S)
     running = await curio.spawn(load.run, list(fleet.entries), 600.0)
     try:
         await until(lambda: all(arrivals.times_s.values()))
@@ -79,28 +79,31 @@
 
 
 def knows_domains(gateway, domains):
-    """Return whether a gateway's targets are in just these domains."""
+    """Return whether a gateway's targets are in exactly these domains."""
     entries = gateway.parts.targets.entries()
     return {one.failure_domain for one in entries} == domains
 
 
 def evacuated(host):
-    """Return the evacuated domains that an entry host knows of."""
+    """Return the evacuated domains that an entry knows."""
     return set(host.gateway.parts.evacuations.domains())
 
 
 async def until_all(fleet, domains):
-    """Wait until all entries know just these domains to be evacuated."""
+    """Wait until all entries know exactly these domains to be evacuated."""
     await until(lambda: all(evacuated(one) == domains for one in fleet.entries))
 
 
 @pytest.mark.parametrize(
-    ("entry_count", "lonely_count"), [(1, 0), (4, 0), (3, 1), (12, 0)]
+    ("entry_count", "isolated_count"), [(1, 0), (4, 0), (3, 1), (12, 0)]
 )
-def test_evacuated_domain_gets_no_request_until_it_is_taken_back(
-    entry_count, lonely_count
+def test_evacuated_domain_gets_no_request_until_its_release(
+    entry_count, isolated_count
 ):
-    """Of 12 hosts, 88 requests reached an evacuated domain after 5 s."""
+    """Guards against requests to an evacuated domain.
+
+    With 12 hosts, 88 requests reached the domain later than 5 s after its evacuation.
+    """
 
     async def test(fleet):
         async with served(fleet, "ccbb") as arrivals:
@@ -114,14 +117,17 @@
         used = arrivals.between("b", taken_back_s, taken_back_s + USED_AGAIN_S)
         return late, used > 0
 
-    assert run_fleet(test, entry_count, lonely_count, 4) == (0, True)
+    assert run_fleet(test, entry_count, isolated_count, 4) == (0, True)
 
 
-@pytest.mark.parametrize(("entry_count", "lonely_count"), [(4, 0), (1, 1)])
+@pytest.mark.parametrize(("entry_count", "isolated_count"), [(4, 0), (1, 1)])
 def test_store_that_falls_silent_a_second_after_an_evacuation(
-    entry_count, lonely_count
+    entry_count, isolated_count
 ):
-    """Also taken back while it is silent: used again 2 s after it speaks again."""
+    """The evacuation holds while the store is silent, and ends 2 s after it is back.
+
+    Its record is dropped while the store is silent.
+    """
 
     async def test(fleet):
         async with served(fleet, "ccbb") as arrivals:
@@ -138,17 +144,17 @@
         late = arrivals.between("b", confirmed_s + WITHDRAWN_S, back_s)
         return late, arrivals.between("b", back_s) > 0
 
-    assert run_fleet(test, entry_count, lonely_count, 4) == (0, True)
+    assert run_fleet(test, entry_count, isolated_count, 4) == (0, True)
 
 
-def test_host_whose_own_read_is_silent_learns_of_it_from_any_other():
-    """A host's read that waits at the store for ever hid the evacuation from it."""
+def test_host_with_a_silent_read_learns_of_an_evacuation_from_peers():
+    """Guards against a read that waits at the store forever and hides an evacuation."""
 
     async def test(fleet):
         cut_off = fleet.entries[0]
         follower = cut_off.gateway._table_follower
         async with served(fleet, "ccbb") as arrivals:
-            # Its reads go on waiting for a record that will not come.
+            # Its reads wait for a record that will not come.
             follower._source._store = _SilentStore()
             await follower.read_again()
             await fleet.store.evacuate("b")
@@ -162,7 +168,7 @@
 
 
 def test_two_domains_all_of_them_and_the_same_one_again():
-    """With all of them evacuated, requests are refused at once with a retry time."""
+    """With all domains evacuated, requests are refused at once with a retry time."""
 
     async def test(fleet):
         async with served(fleet, "abc") as arrivals:
@@ -199,7 +205,7 @@
 
 
 def test_store_restored_without_the_record_keeps_the_domain_evacuated():
-    """A restored store did not list the domain any more, and it got requests."""
+    """Guards against requests to a domain whose record a restored store has lost."""
 
     async def test(fleet):
         fleet.store.keep_copy()
@@ -222,13 +228,13 @@
 
 
 def test_host_that_starts_knows_an_evacuation_before_it_is_ready():
-    """A host that had just started sent its first requests into it."""
+    """Guards against a started host whose first requests go to an evacuated domain."""
 
     async def test(fleet):
         async with served(fleet, "ccbb"):
             await fleet.store.evacuate("b")
             await until_all(fleet, {"b"})
-            # All records but the newest of each key are dropped.
+            # Drop all records except the newest of each key.
             fleet.store.topics["keyed.op"].forget()
             await fleet.join()
             return evacuated(fleet.entries[-1])
@@ -236,8 +242,11 @@
     assert run_fleet(test, 2, 0, 4) == {"b"}
 
 
-def test_snapshot_of_a_peer_tells_of_evacuations():
-    """A host that the store had turned away served by a peer's list alone."""
+def test_snapshot_of_a_peer_holds_evacuations():
+    """Guards against a host that knows targets, but no evacuations, from a snapshot.
+
+    The store refuses its calls.
+    """
 
     async def test(system):
         await system.store.evacuate("a")
@@ -257,7 +266,7 @@
 
 
 def test_stream_in_flight_is_finished():
-    """An evacuation broke off streams that would have ended by themselves."""
+    """Guards against an evacuation that aborts streams under way."""
 
     async def test(system):
         system.servers[0].serve_by(stream(1, 5, gap_s=0.1))
@@ -272,7 +281,7 @@
 
 
 def test_request_that_was_chosen_before_an_evacuation_is_not_written():
-    """The choice was made, then opening a connection took time."""
+    """Guards against using a target that is evacuated while its connection opens."""
 
     async def test(system):
         parts = system.gateway.parts
@@ -283,7 +292,7 @@
 
 
 class _LatePool:
-    """Opens connections that take until an evacuation is known."""
+    """Connections that open only after an evacuation is known."""
 
     def __init__(self, pool, store, evacuations):
         self._pool = pool
@@ -305,30 +314,30 @@
     """A store that answers nothing."""
 
     async def read_changes(self, topic, position, wait_s=0.0):
-        """Wait for ever."""
+        """Wait without end."""
         await curio.sleep(3600.0)
 
 
-def test_ranks_in_evacuated_domains_are_not_asked_for_their_places():
-    """A host that started asked all ranks of groups that operators worked at."""
+def test_ranks_in_evacuated_domains_are_not_queried():
+    """Guards against querying ranks of groups in evacuated domains at a start."""
     ranks = [
         entry("m-1", "model", domain="a"),
         entry("m-2", "model", domain="b"),
         entry("n-1", "nearby", domain="b"),
         entry("n-2", "nearby", domain="b"),
     ]
-    known = ranks_to_know(ranks, unknown=[*ranks[:2], ranks[3]], evacuated={"b"})
+    known = ranks_to_query(ranks, unknown=[*ranks[:2], ranks[3]], evacuated={"b"})
     assert ids(known) == ["m-1", "m-2", "n-1"]
 
 
-def test_records_of_other_keys_and_spoilt_values():
-    """A record with another value evacuated nothing, and a dropped one everything."""
+def test_records_of_other_keys_and_malformed_values():
+    """Any value evacuates, a dropped record ends it, and other keys have no effect."""
     records = EvacuationRecords()
     values = [("evacuate/b", b"{}"), ("evacuate/c", b"?"), ("config", b"{}")]
-    records.take_newest([KeyedRecord(*one) for one in values])
+    records.replace_all([KeyedRecord(*one) for one in values])
     assert records.domains == {"b", "c"}
     values = [("evacuate/b", None), ("evacuate/", b"{}"), ("config", None)]
-    records.take_changes([KeyedRecord(*one) for one in values])
+    records.apply_changes([KeyedRecord(*one) for one in values])
     assert (records.domains, records.taken_back) == ({"c"}, ["b"])
-    records.take_newest([])
+    records.replace_all([])
     assert (records.domains, records.taken_back) == (set(), [])
--- a/siskinthread/platform/tests/test_faults.py
+++ b/siskinthread/platform/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""What servers, callers and stops may do to a request, and what must come of it."""
+"""Faults of servers, callers and stops, and their effect on a request."""
 
 import curio
 import pytest
@@ -22,11 +22,11 @@
     "fault", [faults.lose_answer, faults.cut_answer, faults.answer_nonsense]
 )
 def test_request_that_may_have_run_is_not_sent_again(fault):
-    """Symptom: an alert is sent out twice.
+    """Guards against an alert that is sent out twice.
 
-    Events: a server runs a request that must not run twice, and its answer is lost,
-    cut or spoilt.  Cause: the request was sent to another server, or its caller was
-    told that it had not run.
+    A server runs a request that must not run twice, and its answer is lost, truncated
+    or malformed.  The request must not go to another server, and its caller must not be
+    told that it did not run.
     """
 
     async def test(system):
@@ -41,7 +41,7 @@
     [faults.lose_answer, faults.cut_answer, faults.answer_nonsense, faults.fail],
 )
 def test_idempotent_request_is_answered_by_another_server(fault):
-    """One lost, cut, spoilt or failed answer costs the caller nothing but time."""
+    """A lost, truncated, malformed or failed answer costs the caller only time."""
 
     async def test(system):
         behave(system, fault)
@@ -51,8 +51,8 @@
     assert run_system(test) == (200, b"done\n", 2)
 
 
-def test_own_failure_of_a_server_is_passed_on():
-    """What a server says of a request that it ran reaches the caller as it was."""
+def test_failure_answer_of_a_server_is_forwarded():
+    """A server's failure of a request that it ran reaches the caller unchanged."""
 
     async def test(system):
         behave(system, faults.fail, faults.fail)
@@ -64,8 +64,8 @@
     assert faults.SEAL.encode() in response
 
 
-def test_declined_request_is_refused_with_when_to_come_back():
-    """A refusal by as many servers as may be asked is a refusal to the caller."""
+def test_declined_request_is_refused_with_a_retry_time():
+    """The caller is refused once all permitted attempts were declined."""
 
     async def test(system):
         behave(system, faults.decline, faults.decline)
@@ -80,7 +80,7 @@
 
 
 def test_successor_at_an_address_is_noticed():
-    """A server whose address another instance has gets no further requests."""
+    """A server whose address another instance has reused gets no further requests."""
 
     async def test(system):
         behave(system, faults.misdirect)
@@ -92,10 +92,10 @@
 
 
 def test_unreachable_server_costs_no_attempt():
-    """Symptom: an alert is refused although a server could take it.
+    """Guards against refusing an alert although a server could run it.
 
-    Events: a server is gone and still listed.  Cause: the try to connect counted as
-    the one attempt that the route allows.
+    A server is gone and still listed.  A failed connection must not count as the one
+    attempt that the route allows.
     """
 
     async def test(system):
@@ -108,10 +108,10 @@
 
 
 def test_answer_to_another_request_is_dropped():
-    """Symptom: a caller gets somebody else's answer.
+    """Guards against a caller that receives another caller's answer.
 
-    Events: a faulty server sends an answer to an earlier request where this one's is
-    due, with this one's behind it.
+    A faulty server sends an answer to an earlier request first, and the right one after
+    it.
     """
 
     async def test(system):
@@ -122,7 +122,7 @@
     assert run_system(test) == (200, b"done\n", 1)
 
 
-def test_bytes_behind_an_answer_reach_nobody():
+def test_bytes_after_an_answer_reach_no_caller():
     """A connection with a second answer on it is not used again."""
 
     async def test(system):
@@ -135,7 +135,7 @@
 
 
 def test_answer_without_a_length_ends_with_its_connection():
-    """It is passed on whole, with a length."""
+    """It is forwarded completely, with a length."""
 
     async def test(system):
         behave(system, faults.answer_until_close)
@@ -147,10 +147,10 @@
 
 
 def test_final_answer_comes_at_the_route_s_limit():
-    """Symptom: a caller waits for its whole deadline.
+    """Guards against a caller that waits until its own deadline.
 
-    Events: a server takes a request and answers nothing.  Its caller is told at the
-    limit of the route, and the server's work is cancelled.
+    A server accepts a request and answers nothing.  Its caller gets an answer at the
+    time limit of the route, and the server's work is cancelled.
     """
 
     async def test(system):
@@ -167,7 +167,7 @@
 
 
 def test_caller_that_leaves_cancels_its_request():
-    """Symptom: servers go on working for callers that have left."""
+    """Guards against servers that go on working for callers that have left."""
 
     async def test(system):
         behave(system, faults.hang)
@@ -181,10 +181,10 @@
 
 
 def test_new_connection_for_what_must_not_run_twice():
-    """Symptom: an alert ends unknown although its server lives.
+    """Guards against an alert with an unknown outcome although its server is up.
 
-    Events: the server closes a kept connection at the very moment at which the alert
-    is written to it.  Only requests that may be repeated use kept connections.
+    The server closes a kept connection at the moment at which the alert is written to
+    it. Only requests that may be repeated use kept connections.
     """
 
     async def test(system):
@@ -202,7 +202,7 @@
 
 
 def test_leaving_server_gets_no_new_request():
-    """A server that announces its leaving is passed over within one look."""
+    """A server that announces that it leaves is excluded at the next list read."""
 
     async def test(system):
         leaving = listed(system.servers[0], state="draining")
@@ -232,10 +232,10 @@
     assert count == 0
 
 
-def test_refusal_that_does_not_say_not_run_is_not_passed_on():
-    """Symptom: a caller is told that its alert did not run, and it had.
+def test_refusal_without_not_run_is_not_forwarded():
+    """Guards against telling a caller that its alert did not run although it did.
 
-    Events: a server answers 503 to a request without stating that it did not run.
+    A server answers 503 to a request without stating that it did not run it.
     """
 
     async def test(system):
@@ -245,8 +245,8 @@
     assert run_system(test) == 502
 
 
-def test_decline_counts_although_its_body_breaks_off():
-    """The head says all: a refusal to the caller, and no second run."""
+def test_decline_counts_although_its_body_is_truncated():
+    """The head suffices: the caller is refused, and there is no second run."""
 
     async def test(system):
         behave(system, faults.decline_and_break_off)
@@ -255,11 +255,11 @@
     assert run_system(test) == (503, 1)
 
 
-def test_server_that_closes_kept_connections_is_not_blamed():
-    """Symptom: servers are passed over although none has failed.
+def test_server_that_closes_kept_connections_is_not_ejected():
+    """Guards against ejecting servers although none has failed.
 
-    Events: a server closes a connection after its answer, just as the next request is
-    written to it.
+    A server closes a connection after its answer, just as the next request is written
+    to it.
     """
 
     async def test(system):
--- a/siskinthread/platform/tests/test_golden.py
+++ b/siskinthread/platform/tests/test_golden.py
@@ -1,7 +1,7 @@
-"""Whole sessions on the platform's wire, against files that hold every byte.
+"""Complete sessions in the platform's protocol, compared byte by byte with files.
 
 ``python -m siskinthread.platform.tests.test_golden`` writes the files anew; the change
-is then read like any other.
+is then reviewed like any other.
 """
 
 import re
@@ -22,7 +22,7 @@
 from standins import platform_behaviours as faults
 
 FOLDER = Path(__file__).parent / "golden"
-# What differs from run to run.
+# Values that differ between runs.
 VARYING = (
     (re.compile(r"(?i)(x-deadline-ms: )\d+"), r"\1N"),
     (re.compile(r"(?i)(retry-after: )[\d.]+"), r"\1N"),
@@ -40,7 +40,7 @@
 
 
 def play(name):
-    """Return the text of a session: each request as its server saw it, each answer."""
+    """Return the text of a session: requests as the server saw them, and answers."""
 
     async def test(system):
         (server,) = system.servers
@@ -58,7 +58,7 @@
         await client.close()
         return "\n".join(lines)
 
-    # One server, so that it is always the same one that is asked.
+    # One server, so that all requests go to the same one.
     text = run_system(test, server_count=1)
     for pattern, replacement in VARYING:
         text = pattern.sub(replacement, text)
@@ -73,7 +73,7 @@
 def _text(response):
     head, _, body = response.partition(b"\r\n\r\n")
     if b"transfer-encoding: chunked" in head.lower():
-        # How many events share a chunk depends on how busy the machine is.
+        # The number of events in a chunk depends on the load of the machine.
         is_whole = body.endswith(b"0\r\n\r\n")
         body = body_of(response) + (b"(whole)\n" if is_whole else b"(broken off)\n")
     text = (head + b"\r\n\r\n" + body).decode().replace("\r\n", "\n")
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("name", sorted(SESSIONS))
 def test_session_is_as_recorded(name):
-    """Not a byte differs but for times."""
+    """No byte differs except for times."""
     assert play(name) == (FOLDER / f"{name}.txt").read_text()
 
 
--- a/siskinthread/platform/tests/test_held_memory.py
+++ b/siskinthread/platform/tests/test_held_memory.py
@@ -1,4 +1,4 @@
-"""What a host holds for callers and targets that read slowly."""
+"""Memory that a host holds for callers and targets that read slowly."""
 
 import curio
 import pytest
@@ -20,14 +20,14 @@
 
 ANSWER = b"x" * 250_000
 SEND_BUFFER_BYTES = 4096
-# Room for the unsent rests of two such answers.
+# Room for the unsent parts of two such answers.
 HELD_LIMIT_BYTES = 520_000
 BODY = b"y" * 6_000_000
 BODIES_LIMIT_BYTES = 10_000_000
 
 
 async def answer_long(server, request, client):
-    """Answer with more than the kernel's buffers take."""
+    """Answer with more than the kernel's buffers accept."""
     data = answer_bytes(request.request_id, body=ANSWER, headers=sealed())
     await client.sendall(data)
 
@@ -42,13 +42,13 @@
 
 
 def held_bytes(system):
-    """Return what is held for each caller that reads slowly."""
+    """Return the bytes that are held for each caller that reads slowly."""
     callers = [one.caller for one in system.gateway._callers._connections]
     return [one.held_bytes() for one in callers if one.held_bytes()]
 
 
 def test_slowest_readers_are_ended_first_beyond_the_bound():
-    """Each of many callers that read nothing held an answer for 5 s."""
+    """Guards against memory that many callers occupy which read nothing for 5 s."""
 
     async def test(system):
         system.servers[0].serve_by(answer_long)
@@ -56,7 +56,7 @@
         for number in range(6):
             clients.append(await send_unread(system))
             await until(lambda count=number: len(system.seen()) > count)
-            # Longer than a round of the watchdog.
+            # Longer than the interval of the watchdog.
             await curio.sleep(0.1)
         held = held_bytes(system)
         quick = await system.request(SAFE_PATH)
@@ -76,8 +76,11 @@
 
 
 @pytest.mark.parametrize("version", ["1.0", "1.1"])
-def test_answer_that_broke_off_never_looks_whole(version):
-    """To a caller without chunks, a closed connection was the end of the answer."""
+def test_aborted_answer_never_looks_complete(version):
+    """Guards against a broken answer that looks complete to a caller without chunks.
+
+    To such a caller a closed connection is the end of the answer.
+    """
 
     async def test(system):
         system.servers[0].serve_by(stream(1, 5, cut_within=3))
@@ -97,7 +100,7 @@
 
 
 def test_caller_without_chunks_gets_a_whole_answer():
-    """Its connection is closed, not reset, behind the last event."""
+    """Its connection is closed, not reset, after the last event."""
 
     async def test(system):
         system.servers[0].serve_by(stream(1, 5))
@@ -112,8 +115,8 @@
     assert run_system(test, server_count=1) == 5
 
 
-def test_answers_are_passed_on_as_they_come_once_memory_is_full():
-    """Answers that were put together had no bound but their number."""
+def test_answers_are_forwarded_unbuffered_once_memory_is_full():
+    """Guards against buffered answers that are limited by their number only."""
 
     async def test(system):
         system.servers[0].serve_by(answer_long)
@@ -125,8 +128,8 @@
     assert result == (True, True, 0)
 
 
-def test_event_without_an_end_is_not_held_for_ever():
-    """A target that never ended its event filled the memory, byte by byte."""
+def test_event_without_an_end_is_not_buffered_without_limit():
+    """Guards against a target that fills the memory with an endless event."""
 
     async def endless(server, request, client):
         head = [
@@ -161,12 +164,12 @@
 
 
 def test_body_that_a_target_takes_most_slowly_makes_room_for_others():
-    """Targets that took few bytes filled the memory for bodies until the deadlines."""
+    """Guards against slow targets that fill the memory for bodies until deadlines."""
     limits = published()["limits"] | {"max_body_bytes": 8_000_000}
 
     async def test(system):
         async def take_little(client, address):
-            # One that takes nothing is ended by the kernel.
+            # A connection that accepts nothing would be ended by the kernel.
             while await client.recv(SEND_BUFFER_BYTES):
                 await curio.sleep(0.02)
 
--- a/siskinthread/platform/tests/test_outages.py
+++ b/siskinthread/platform/tests/test_outages.py
@@ -1,4 +1,4 @@
-"""What entries know while the store turns some of them away."""
+"""State of entries while the store refuses the calls of some of them."""
 
 import json
 
@@ -22,7 +22,7 @@
 from standins.platform_store import FIRST_ERA
 
 OTHER = "i-other"
-# An offset of the list behind all that the store has.
+# An offset of the list after all records of the store.
 AHEAD = 1000
 
 
@@ -39,12 +39,13 @@
 def page_of(system, document, entries, kept_left_s=None, offset=AHEAD):
     """Return the snapshot page of a peer that knows a document and entries.
 
-    It keeps some of these for a while only, and has read the list up to an offset.
+    The peer keeps some entries for a grace period only, and has read the list up to an
+    offset.
     """
     tables = type(system.tables)(None)
     targets = type(system.targets)(None)
-    tables.take([record("config", document)])
-    changes = targets.take([record(key, value) for key, value in entries.items()])
+    tables.apply([record("config", document)])
+    changes = targets.apply([record(key, value) for key, value in entries.items()])
     believed = [change.entry for change in changes]
     listing = ListStatement(Position(FIRST_ERA, offset), 0, 0.0)
     return snapshot_page(tables, believed, kept_left_s or {}, listing)
@@ -55,11 +56,11 @@
     return KeyedRecord(key, json.dumps(value).encode())
 
 
-def test_change_that_the_store_holds_back_is_read_again():
-    """Symptom: a revoked key still passes seconds later.
+def test_change_withheld_by_the_store_is_read_again():
+    """Guards against a revoked key that still passes seconds later.
 
-    Events: the store never answers this host's waiting read, and serves its other
-    calls; a peer has the newer version.  Cause: nothing told this host to ask again.
+    The store never answers this host's waiting read, and serves its other calls; a peer
+    has the newer version.  The host must read again because of the peer's version.
     """
 
     async def test(system):
@@ -67,7 +68,7 @@
         await until(lambda: topic.waiting == 1)
         system.store.mode = "deaf"
         await system.store.put("keyed.op", "config", published(2, keys=["new"]))
-        # The waiting read has missed it, and will never be answered.
+        # The waiting read has missed the change, and will never be answered.
         await curio.sleep(0.05)
         system.store.mode = "up"
         assert system.gateway.view.table.version == 1
@@ -77,11 +78,11 @@
     run_system(test, table_wait_s=30.0)
 
 
-def test_host_that_is_turned_away_learns_from_a_peer():
-    """Symptom: requests go to a server that left, and a new key is refused.
+def test_host_refused_by_the_store_learns_from_a_peer():
+    """Guards against using a server that has left, and against refusing a new key.
 
-    Events: the store refuses this host for many seconds; meanwhile a key is added and
-    a server leaves, and peers know.
+    The store refuses this host for many seconds; meanwhile a key is added and a server
+    leaves, and peers know of both.
     """
 
     async def test(system):
@@ -100,9 +101,10 @@
 
 
 def listed_after_a_snapshot(is_kept, offset):
-    """Return which servers a host lists, and which it should.
+    """Return the servers that a host lists, and those that it should list.
 
-    One of two is gone, and a peer that has read the list up to an offset hands it on.
+    One of two servers is gone, and a peer that has read the list up to an offset still
+    lists both in its snapshot.
     """
 
     async def test(system):
@@ -122,20 +124,23 @@
     return run_system(test)
 
 
-def test_server_that_is_gone_is_not_listed_again_by_a_peer_that_keeps_it():
-    """Two hosts listed a gone server again, which a peer just back kept by grace."""
+def test_gone_server_is_not_relisted_by_a_peer_that_keeps_it():
+    """Guards against relisting a gone server that a peer keeps in its grace period."""
     seen, expected = listed_after_a_snapshot(is_kept=True, offset=AHEAD)
     assert seen == expected
 
 
-def test_server_that_is_gone_is_not_listed_again_by_a_peer_with_an_older_list():
-    """A peer that was just cut off handed on a server that had left meanwhile."""
+def test_gone_server_is_not_relisted_by_a_peer_with_an_older_list():
+    """Guards against relisting a gone server from a peer that was just cut off."""
     seen, expected = listed_after_a_snapshot(is_kept=False, offset=2)
     assert seen == expected
 
 
-def test_server_that_only_a_peer_listed_goes_once_the_store_answers():
-    """Nobody tells a host of a server that its own reading has never held."""
+def test_server_listed_by_a_peer_only_goes_once_the_store_answers():
+    """Guards against a server that stays since the host's own list never had it.
+
+    A server from a peer's snapshot must go once the store's list does not have it.
+    """
 
     async def test(system):
         offset = system.store.topics["keyed.servers"].end
@@ -154,8 +159,8 @@
     assert run_system(test) == 2
 
 
-def test_host_that_starts_turned_away_serves_by_what_a_peer_knows():
-    """Symptom: a restarted host refuses everything for as long as the store does."""
+def test_host_refused_at_its_start_serves_by_a_snapshot():
+    """Guards against a restarted host that refuses all while the store refuses it."""
 
     async def test(system):
         page = page_of(system, published(3), {})
@@ -165,15 +170,15 @@
             await until(lambda: system.gateway.view.table is not None)
         return status_of(await system.request(SAFE_PATH))
 
-    # The one server of the snapshot is missing, so that the refusal names no table.
+    # The snapshot lists no server, so the refusal is not because of a missing table.
     assert run_system(test, server_count=0) == 503
 
 
-def test_host_that_starts_in_an_outage_for_all_serves_by_what_others_still_do():
-    """Symptom: an added host refuses everything for 6 s.
+def test_host_that_starts_in_a_store_outage_serves_by_a_snapshot():
+    """Guards against an added host that refuses everything for 6 s.
 
-    Events: the store is away for everybody; the other hosts serve on by what they
-    know, and none of them is informed.  Cause: only informed peers were asked.
+    The store is unavailable to all hosts; the others continue to serve by their state,
+    and none of them is informed.  The new host must ask uninformed peers as well.
     """
 
     async def test(system):
@@ -185,12 +190,12 @@
             denied = await system.request(SAFE_PATH, key="unknown here")
         return status_of(served), status_of(denied)
 
-    # What an uninformed peer knows does not prove that a key is unknown.
+    # The state of an uninformed peer does not prove that a key is unknown.
     assert run_system(test, first_mode="reset") == (200, 503)
 
 
 def test_unreadable_snapshot_changes_nothing():
-    """A peer that answers nonsense is not believed."""
+    """A malformed snapshot is ignored."""
 
     async def test(system):
         page = StatusPage(200, b'{"config": 5}')
@@ -204,12 +209,12 @@
     assert run_system(test) == 200
 
 
-def test_snapshot_that_would_tell_nothing_new_is_not_asked_for():
-    """Symptom: links of entry hosts are full of snapshots.
+def test_snapshot_with_nothing_new_is_not_fetched():
+    """Guards against snapshots that fill the links of entry hosts.
 
-    Events: the store turns a third of the hosts away for 9 s, with a configuration of
-    half a megabyte; each of them asks a peer for all of it every 0.4 s.  Cause: what
-    the peer tells in its news of the version and the list it has was not looked at.
+    The store refuses a third of the hosts for 9 s, with a configuration of half a
+    megabyte. Each of them would fetch all of it from a peer every 0.4 s, unless it
+    compares the version and the list position in the peer's messages first.
     """
 
     async def test(system):
--- a/siskinthread/platform/tests/test_path.py
+++ b/siskinthread/platform/tests/test_path.py
@@ -1,4 +1,4 @@
-"""Requests on their way through the gateway, with the platform's headers."""
+"""Requests through the gateway, with the platform's headers."""
 
 import curio
 import pytest
@@ -60,7 +60,7 @@
     ],
 )
 def test_routes_and_keys(path, key, status):
-    """Unknown paths and keys are turned away; public routes need no key."""
+    """Unknown paths and keys are refused; public routes need no key."""
 
     async def test(system):
         return await system.request(path, key=key)
@@ -68,8 +68,8 @@
     assert status_of(run_system(test)) == status
 
 
-def test_server_is_not_told_an_account_on_a_public_route():
-    """A caller can't give itself an account where no key is asked for."""
+def test_server_gets_no_account_on_a_public_route():
+    """A caller can't state an account where no key is required."""
 
     async def test(system):
         await system.request("/public/x", headers=["X-Tenant: forged"], key=None)
@@ -80,10 +80,10 @@
 
 
 def test_nothing_is_denied_before_a_configuration_is_known():
-    """Symptom: a caller is told 404 for what is allowed.
+    """Guards against a 404 for an allowed path.
 
-    Events: a process starts while the store does not serve it.  Cause: without a
-    configuration every path looked unknown.
+    A process starts while the store does not answer; without a configuration every path
+    looks unknown.
     """
 
     async def test(system):
@@ -95,11 +95,11 @@
     assert ready == 503
 
 
-def test_nothing_is_denied_while_the_configuration_may_be_old():
-    """Symptom: a caller with a new key is told 401.
+def test_nothing_is_denied_while_the_configuration_may_be_stale():
+    """Guards against a 401 for a new key.
 
-    Events: the store turns this host away; a key is added meanwhile.  Cause: the host
-    took its old configuration for the newest one.
+    The store refuses this host's calls, and a key is added meanwhile.  The host must
+    not take its old configuration for the newest one.
     """
 
     async def test(system):
@@ -115,8 +115,8 @@
         assert status_of(response) == 503
 
 
-def test_change_comes_into_force_and_never_goes_back():
-    """A newer version counts at once, an older one that arrives late does not."""
+def test_change_comes_into_force_and_is_never_reverted():
+    """A newer version is applied at once; an older one that arrives late is not."""
 
     async def test(system):
         await system.store.put("keyed.op", "config", published(5, keys=["new"]))
@@ -130,8 +130,8 @@
     assert run_system(test) == (200, 401, 5)
 
 
-def test_unreadable_configuration_is_not_taken():
-    """The one in force stays, and the process goes on."""
+def test_unreadable_configuration_is_ignored():
+    """The configuration in force stays, and the process goes on."""
 
     async def test(system):
         await system.store.put("keyed.op", "config", {"version": 9, "routes": "none"})
@@ -144,10 +144,10 @@
 
 
 def test_silent_read_does_not_delay_the_next_change():
-    """Symptom: a change came into force 8 s late.
+    """Guards against a change that comes into force 8 s late.
 
-    Events: a read that waits for changes reaches the store while it answers nothing;
-    the store comes back and never answers that read.  Cause: nothing ended the read.
+    A read that waits for changes reaches the store while it answers nothing; the store
+    comes back and never answers that read.  The host must end the read itself.
     """
 
     async def test(system):
@@ -162,8 +162,8 @@
     run_system(test, table_wait_s=30.0)
 
 
-def test_forgotten_history_is_read_anew():
-    """A store that drops its records loses this process neither routes nor servers."""
+def test_dropped_history_is_read_anew():
+    """A store that drops old records loses neither routes nor servers."""
 
     async def test(system):
         await system.store.put("keyed.op", "config", published(2))
@@ -177,8 +177,8 @@
     assert run_system(test) == 200
 
 
-def test_stream_is_passed_on_event_by_event():
-    """The first event reaches the caller before the second is made."""
+def test_stream_is_forwarded_event_by_event():
+    """The first event reaches the caller before the second is generated."""
 
     async def test(system):
         for server in system.servers:
@@ -214,7 +214,7 @@
 
 
 def test_body_over_the_published_limit_is_refused():
-    """The caller learns why, and nothing reaches a server."""
+    """The caller receives 413, and nothing reaches a server."""
 
     async def test(system):
         response = await system.request(ONCE_PATH, body=b"x" * 70_000)
@@ -224,7 +224,7 @@
 
 
 def test_chunked_body_arrives_whole():
-    """A body without a length is passed on with one."""
+    """A body without a length is forwarded with a length."""
 
     async def test(system):
         head = system.request_bytes(ONCE_PATH, body=b"").rstrip(b"\r\n")
--- a/siskinthread/platform/tests/test_process.py
+++ b/siskinthread/platform/tests/test_process.py
@@ -28,7 +28,7 @@
 
 
 def run(arguments, **environment):
-    """Start a Python process at the project's root."""
+    """Start a Python process in the project's root."""
     return subprocess.Popen(
         [sys.executable, *arguments],
         cwd=ROOT,
@@ -40,7 +40,7 @@
 
 
 def free_ports(count):
-    """Return ports that are free now."""
+    """Return ports that are free at this moment."""
     sockets = [socket.socket() for _ in range(count)]
     for one in sockets:
         one.bind(("127.0.0.1", 0))
@@ -50,8 +50,8 @@
     return ports
 
 
-def test_requests_are_traced_to_their_causes():
-    """The demo's requests end as they should, and three are explained by the log."""
+def test_demo_requests_are_explained_by_the_log():
+    """The demo's requests end as expected, and the log explains three of them."""
     process = run(["scripts/demo_gateway.py"])
     output, _ = process.communicate(timeout=HANG_S)
     assert process.returncode == 0, output
@@ -60,7 +60,7 @@
 
 
 def read_until(process, events):
-    """Return what a process prints until it has told of some events, or has hung."""
+    """Return the output of a process until it has logged some events, or timed out."""
     output = ""
     hang = threading.Timer(HANG_S, process.kill)
     hang.start()
@@ -74,7 +74,7 @@
 
 
 def test_settings_that_are_missing_end_the_process_with_a_message():
-    """An operator learns which file could not be read."""
+    """The message names the file that could not be read."""
     process = run(["-m", "siskinthread.platform"], SISKINTHREAD_BOOT="/no/such/file")
     output, _ = process.communicate(timeout=HANG_S)
     assert process.returncode == 1
@@ -82,8 +82,8 @@
     assert "/no/such/file" in output
 
 
-def test_stop_reload_and_a_store_that_is_away(tmp_path):
-    """It starts without the store, takes changed settings, and stops when told to."""
+def test_stop_and_reload_without_the_store(tmp_path):
+    """The process starts without the store, reloads settings, and stops on SIGTERM."""
     front, ready, peer = free_ports(3)
     text = SETTINGS.format(front=front, ready=ready, peer=peer)
     path = tmp_path / "settings.toml"
@@ -95,7 +95,7 @@
             if probe.connect_ex(("127.0.0.1", ready)) == 0:
                 break
         assert time.monotonic() < deadline_s
-        time.sleep(0.05)  # Until a process of its own listens.
+        time.sleep(0.05)  # Wait until the process listens.
     path.write_text(text.replace("grace_s = 1", "grace_s = 2"))
     process.send_signal(signal.SIGHUP)
     output = read_until(process, ("dependency lost", "settings reloaded"))
--- a/siskinthread/platform/tests/test_readiness.py
+++ b/siskinthread/platform/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""Hosts that say that they are ready take connections."""
+"""Readiness of hosts that can't accept connections, or can't serve yet."""
 
 import errno
 
@@ -15,7 +15,7 @@
 
 
 class FullListener:
-    """A listening socket of a process that has no descriptor left for a while."""
+    """A listening socket of a process without free file descriptors for a while."""
 
     def __init__(self, listener):
         self._listener = listener
@@ -32,23 +32,23 @@
 
 
 def test_host_without_descriptors_is_not_ready_until_it_accepts_again():
-    """Symptom: callers are sent to a host that takes no connection for seconds.
+    """Guards against callers that are sent to a host that accepts no connections.
 
-    Events: all hosts lost power, and the callers of all come to the first one that is
-    back; it runs out of descriptors and goes on saying that it is ready.
+    All hosts lose power, and the callers of all come to the first host that is back; it
+    runs out of descriptors, and must not report that it is ready.
     """
 
     async def test(system):
         callers = system.gateway._callers
         await until(lambda: callers._listening_socket is not None)
         listener = callers._listening_socket = FullListener(callers._listening_socket)
-        # The try that is under way is the last one with descriptors.
+        # The accept that is under way is the last one with descriptors.
         await system.request(SAFE_PATH)
         waiting = [await curio.spawn(system.request, SAFE_PATH) for _ in range(CALLERS)]
         await until(lambda: system.gateway.unready_reason() is not None)
         refused = await system.ready_status()
         listener.is_full = False
-        # Nobody else needs to come for it to be ready again.
+        # It becomes ready without further connections.
         await until(lambda: system.gateway.unready_reason() is None)
         served = {status_of(await one.join()) for one in waiting}
         return refused, served, await system.ready_status()
@@ -56,8 +56,8 @@
     assert run_system(test) == (503, {200}, 200)
 
 
-def test_host_that_knows_no_configuration_yet_is_not_ready():
-    """A host that is ready before it can serve refuses what others would serve."""
+def test_host_without_configuration_is_not_ready():
+    """Guards against a host that is ready too early, and refuses requests."""
 
     async def test(system):
         return await system.ready_status()
--- a/siskinthread/platform/tests/test_rejected_hosts.py
+++ b/siskinthread/platform/tests/test_rejected_hosts.py
@@ -1,4 +1,4 @@
-"""A store that turns a third of the hosts away while keys and domains change."""
+"""A store that refuses a third of the hosts while keys and domains change."""
 
 import time
 
@@ -6,10 +6,10 @@
 import pytest
 
 from siskinthread.errors import PlatformUnavailableError
-from siskinthread.platform._snapshots import host_snapshot_page, SNAPSHOT_PATH
+from siskinthread.platform._snapshots import own_snapshot_page, SNAPSHOT_PATH
 from siskinthread.platform.tests.fleet import LOOPBACK, OTHER_KEY, run_fleet, TENANTS
 from siskinthread.platform.tests.system import (
-    fetch_soon,
+    fetch_peer_snapshot,
     KEY,
     listed,
     published,
@@ -24,13 +24,13 @@
 
 REJECTED_S = 9.0
 CHANGED_AFTER_S = 1.0
-# Aimed at, from the confirmation of the store on; 5 s are allowed.
+# Objective, from the confirmation by the store on; 5 s are allowed.
 AIM_S = 1.0
 ASKED_INTERVAL_S = 0.1
 
 
 class Gate:
-    """A store's client that the store turns away while it is closed.
+    """A store client whose calls are refused while the gate is closed.
 
     Parameters
     ----------
@@ -49,17 +49,17 @@
         async def gated(*arguments, **options):
             if self.is_closed:
                 self.rejected_count += 1
-                raise PlatformUnavailableError("turned away")
+                raise PlatformUnavailableError("refused by the test")
             return await call(*arguments, **options)
 
         return gated
 
 
 async def serve_snapshots(entry):
-    """Serve what an entry knows; return where."""
+    """Serve the snapshots of an entry; return the address."""
 
     def page():
-        return host_snapshot_page(entry.tables, entry.gateway)
+        return own_snapshot_page(entry.tables, entry.gateway)
 
     listening = curio.tcp_server_socket(LOOPBACK, 0)
     pages = {SNAPSHOT_PATH: page}
@@ -69,13 +69,15 @@
 
 async def share_snapshots(entries):
     """Let all entries fetch the snapshots of one another."""
-    served = {one.news_address: await serve_snapshots(one) for one in entries}
+    served = {one.gossip_address: await serve_snapshots(one) for one in entries}
     for entry in entries:
-        entry.gateway._snapshot_follower._fetch = lambda one: fetch_soon(served[one])
+        entry.gateway._snapshot_follower._fetch = lambda one: fetch_peer_snapshot(
+            served[one]
+        )
 
 
 async def reject(entry):
-    """Let the store turn an entry away, its waiting reads too; return the gate."""
+    """Let the store refuse an entry, including its waiting reads; return the gate."""
     gate = Gate(entry.tables._store)
     gate.is_closed = True
     entry.tables._store = entry.targets._store = gate
@@ -84,7 +86,7 @@
 
 
 class Callers:
-    """Callers of two accounts at one entry, and when each was served last."""
+    """Callers of two accounts at one entry, and when each account was served."""
 
     def __init__(self, entry):
         self._entry = entry
@@ -92,7 +94,7 @@
         self.statuses = {KEY: [], OTHER_KEY: []}
 
     async def run(self):
-        """Ask for ever."""
+        """Send requests until cancelled."""
         while True:
             for key in self.served_s:
                 began_s = time.monotonic()
@@ -106,7 +108,7 @@
 
 @pytest.mark.parametrize("entry_count", [4, 12])
 def test_rejected_hosts_refuse_a_revoked_key_and_leave_an_evacuated_domain(entry_count):
-    """Hosts that the store turned away for 9 s went by what they knew before.
+    """Guards against stale state on hosts that the store refuses for 9 s.
 
     The host that reads the target list for its failure domain is among them.
     """
@@ -120,7 +122,7 @@
         for entry in fleet.entries:
             await until(lambda entry=entry: knows_domains(entry.gateway, set("cb")))
         await share_snapshots(fleet.entries)
-        reader = min(fleet.entries, key=lambda one: str(one.news_address))
+        reader = min(fleet.entries, key=lambda one: str(one.gossip_address))
         others = [one for one in fleet.entries if one is not reader]
         rejected = [reader, *others[: round(entry_count / 3) - 1]]
         callers = [Callers(entry) for entry in fleet.entries]
@@ -150,5 +152,5 @@
     assert versions == {2}
     assert last_served_s <= AIM_S
     assert last_in_domain_s <= AIM_S
-    # The other account is served all the time.
+    # The other account is served without interruption.
     assert {status for one in callers for status in one.statuses[OTHER_KEY]} == {200}
--- a/siskinthread/platform/tests/test_restored_store.py
+++ b/siskinthread/platform/tests/test_restored_store.py
@@ -1,7 +1,7 @@
 """The store comes back from a copy that is some seconds old.
 
-What it acknowledged since is gone, and the offsets of the lost records are given out
-again.  Operators and servers write theirs again, some seconds later.
+Records that it has acknowledged since are gone, and their offsets are assigned again.
+Operators and servers write their records again some seconds later.
 """
 
 import json
@@ -40,7 +40,7 @@
 OTHER_RECORDS = 14
 
 
-async def go_back(system, records):
+async def lose_records(system, records):
     """Let the store lose some records that this host has read."""
     system.store.keep_copy()
     for topic, key, value in records:
@@ -50,7 +50,7 @@
 
 
 def knows_all_of(system, records):
-    """Return whether the newest of some records of servers has been read."""
+    """Return whether the newest of some server records has been read."""
     known = system.targets.listed
     return all(
         key in known
@@ -69,24 +69,24 @@
 
 
 def reports(server, count):
-    """Return reports of a server as it writes them again and again."""
+    """Return a series of reports of a server."""
     return [
         ("keyed.servers", server.instance_id, listed(server, sequence=number))
         for number in range(2, 2 + count)
     ]
 
 
-def test_server_that_leaves_over_offsets_that_were_read_before_gets_no_request():
-    """Symptom: half of all requests reach a server that leaves.
+def test_server_that_leaves_at_a_reused_offset_gets_no_request():
+    """Guards against half of all requests reaching a server that leaves.
 
-    Events: ten records are read and then lost; the word that a server leaves is
-    written at an offset that this host has read past, and others behind it.  Cause:
-    the host read on from its old position, behind that word.
+    Ten records are read and then lost; the record that a server leaves is written at an
+    offset that this host has read past, and others after it.  Reading on from the old
+    position would miss that record.
     """
 
     async def test(system):
         leaving, other = system.servers
-        await go_back(system, reports(other, 10))
+        await lose_records(system, reports(other, 10))
         document = listed(leaving, state="draining", sequence=2)
         await system.store.put("keyed.servers", leaving.instance_id, document)
         for record in reports(other, OTHER_RECORDS):
@@ -98,11 +98,11 @@
     assert asked == expected
 
 
-def test_key_that_is_revoked_over_an_offset_that_was_read_before_is_denied():
-    """Symptom: a revoked key still passes, for as long as nothing else is published.
+def test_key_revoked_at_a_reused_offset_is_denied():
+    """Guards against a revoked key that passes until something else is published.
 
-    Events: one record is read and lost; the next one, which takes the key away, gets
-    its offset.  Cause: the read that waits for changes waits behind that offset.
+    One record is read and lost; the next one, which revokes the key, gets its offset. A
+    read that waits for changes waits after that offset.
     """
 
     async def test(system):
@@ -118,11 +118,12 @@
     assert run_system(test, table_wait_s=30.0) == (401, 200)
 
 
-def test_request_that_ends_servers_is_remembered_by_a_store_that_lost_it():
-    """Symptom: a request ends three servers more after all hosts have started anew.
+def test_lost_record_of_a_request_that_ends_servers_is_rewritten():
+    """Guards against three more ended servers after all hosts have restarted.
 
-    Events: three servers have ended under it, which the store is told; the store
-    loses that; seconds later all hosts start anew.  Cause: nobody wrote it again.
+    Three servers have ended under a request, of which the store has a record; the store
+    loses the record; seconds later all hosts restart.  A host must write the record
+    again.
     """
 
     async def test(fleet):
@@ -149,11 +150,11 @@
     assert run_fleet(test) == 3
 
 
-def test_server_that_had_left_and_is_listed_again_by_the_copy_gets_no_request():
-    """Symptom: requests reach a server long after its leaving was acknowledged.
+def test_left_server_that_the_copy_lists_gets_no_request():
+    """Guards against requests to a server long after its leaving was acknowledged.
 
-    Events: one server has said that it leaves, another one was dropped from the list;
-    the copy lists both as they were before.
+    One server has announced that it leaves, another one was dropped from the list; the
+    copy lists both as they were before.
     """
 
     async def test(system):
@@ -167,7 +168,8 @@
         system.store.restore()
         await curio.sleep(1.0)
         asked = await targets_asked(system)
-        # It was dropped while it could not report, and has reported again since.
+        # The server was dropped while it could not report, and has reported again
+        # since.
         document = listed(dropped, sequence=3)
         await system.store.put("keyed.servers", dropped.instance_id, document)
         await until(lambda: len(targets.serving("app")) == 2)
@@ -177,11 +179,11 @@
     assert asked == expected
 
 
-def test_server_that_came_and_is_missing_in_the_copy_serves_on():
-    """Symptom: all servers that have started in the last seconds vanish at once.
+def test_new_server_missing_in_the_copy_serves_on():
+    """Guards against losing all servers that have started in the last seconds.
 
-    Events: the copy was made before they came; each of them writes its entry again
-    within two seconds.  One that does not is gone.
+    The copy was made before they started; each of them writes its entry again within
+    two seconds.  A server that does not is gone.
     """
 
     async def test(system):
@@ -211,10 +213,10 @@
 
 
 def test_configuration_does_not_go_back_with_the_store():
-    """Symptom: requests on a route that was added are refused for seconds.
+    """Guards against refusing requests on an added route for seconds.
 
-    Events: a version was in force; the copy has the one before it, until the
-    operator has written the newer one again.
+    A version was in force; the copy has the one before it, until the operator has
+    written the newer one again.
     """
 
     async def test(system):
@@ -234,11 +236,11 @@
     assert run_system(test) == 200
 
 
-def test_host_that_starts_behind_a_restore_serves_by_what_a_peer_has():
-    """Symptom: an added host denies keys that all others accept, for seconds.
+def test_host_that_starts_after_a_restore_serves_by_a_snapshot():
+    """Guards against an added host that denies keys which all others accept.
 
-    Events: it starts just after the restore, and the copy has an older version; it
-    asked the store for the newer one of its peers 2.5 times a second, in vain.
+    It starts just after the restore, and the copy has an older version than its peers.
+    It must not ask the store 2.5 times a second in vain for the newer one.
     """
 
     async def test(system):
@@ -252,20 +254,22 @@
             await curio.sleep(0.5)
             reads = system.store.calls[calls_before:].count("/siskinthread/log-read")
             served = await system.request(SAFE_PATH, key=KEPT)
-            # The peer tells of the configuration only: the list is this host's own.
+            # The peer's snapshot has the configuration only: the list is this host's
+            # own.
             serving_count = len(system.gateway.parts.targets.serving("app"))
         return status_of(served), serving_count, reads
 
     status, serving_count, reads = run_system(test, target_interval_s=0.25)
     assert (status, serving_count) == (200, 2)
-    # Two reads of the list, and three of the configuration at most.
+    # At most two reads of the list, and three of the configuration.
     assert reads <= 6
 
 
 def test_snapshot_leaves_out_what_an_older_record_says_of_a_target_that_leaves():
-    """Symptom: a host that the store turns away sends to a server that left.
+    """Guards against a host that uses a left server while the store refuses the host.
 
-    Events: it asks a peer, whose newest record of that server is of the copy.
+    It fetches a snapshot from a peer, whose newest record of that server is of the
+    copy.
     """
 
     async def test(system):
@@ -285,10 +289,10 @@
 
 
 def test_lost_record_of_a_request_is_written_again_once():
-    """Symptom: 99 hosts write the same record at one moment.
+    """Guards against 99 hosts that write the same record at one moment.
 
-    Events: a request is kept off targets, as the store and all hosts know; the one
-    that saw the targets end is gone; the store loses the record.
+    A request is held back from targets, as the store and all hosts know; the host that
+    saw the targets end is gone; the store loses the record.
     """
 
     async def test(fleet):
@@ -313,7 +317,7 @@
 
 
 async def lose_known_request(fleet, before_restore):
-    """Let a store lose a request that all hosts know; return what it gets again.
+    """Let a store lose a request that all hosts know; return what is written again.
 
     Parameters
     ----------
@@ -325,7 +329,7 @@
     Returns
     -------
     tuple of int
-        Calls that write, and records that were written.
+        Number of write calls, and of written records.
     """
     fleet.store.keep_copy()
     first = fleet.entries[0]
@@ -349,16 +353,15 @@
 
 
 def first_in_order(fleet):
-    """Return the entry that goes first, of those that still run."""
+    """Return the first running entry in the rendezvous order."""
     left = fleet.entries[1:]
     return min(left, key=lambda one: one.gateway.control_home.peers.turn_of(MATTER))
 
 
-def test_lost_record_is_written_once_though_the_host_whose_turn_it_is_is_gone():
-    """Symptom: nobody writes the record again, or all the others do.
+def test_lost_record_is_written_once_though_the_first_host_is_gone():
+    """Guards against a lost record that no host writes again, or that all write.
 
-    Events: the host that is first in the order ended just before the restore, and
-    nobody knows yet.
+    The first host of the order ended just before the restore, and no host knows yet.
     """
 
     async def stop_first(fleet):
@@ -371,9 +374,9 @@
 
 
 def test_lost_record_is_written_once_though_the_host_whose_turn_it_is_is_cut_off():
-    """Symptom: nobody writes the record again, or all the others do.
+    """Guards against a lost record that no host writes again, or that all write.
 
-    Events: the host that is first in the order hears the others, and has no path to
+    The first host of the order exchanges messages with the others, and has no path to
     the store.
     """
 
@@ -391,8 +394,8 @@
     assert run_fleet(test, entry_count=6) == (1, 1)
 
 
-def test_hosts_that_hear_of_no_other_write_a_lost_record_once():
-    """Symptom: each host that hears of no other writes the record again."""
+def test_isolated_hosts_write_a_lost_record_once():
+    """Guards against isolated hosts that each write a lost record again."""
 
     async def nothing(fleet):
         pass
@@ -400,25 +403,25 @@
     async def test(fleet):
         return await lose_known_request(fleet, nothing)
 
-    _, record_count = run_fleet(test, entry_count=1, lonely_count=8)
+    _, record_count = run_fleet(test, entry_count=1, isolated_count=8)
     assert record_count == 1
 
 
 def has_read_in_era(follower, era):
-    """Return whether a host knows the list of an era; none while it reads anew."""
+    """Return whether a host has read the list in an era; False while it reads anew."""
     statement = follower.statement()
     return statement is not None and statement.position.era == era
 
 
-def test_hosts_that_hear_of_the_same_list_do_not_read_it_anew():
-    """Symptom: all hosts read the whole list at one moment.
+def test_hosts_that_learn_of_an_equal_list_do_not_read_it_anew():
+    """Guards against all hosts reading the whole list at one moment.
 
-    Events: the store goes back, and its list is what they know.  One host reads it;
-    the others hear its digest, and go on from its position.
+    The store goes back, and its list is what they know.  One host reads it; the others
+    learn its digest, and continue from its position.
     """
 
     async def test(fleet):
-        # None starts with a list that another one has not read yet.
+        # Let all hosts read the same list first.
         await curio.sleep(0.5)
         fleet.store.keep_copy()
         calls_before = len(fleet.store.calls)
@@ -428,12 +431,12 @@
         await curio.sleep(1.0)
         return fleet.store.calls[calls_before:].count("/siskinthread/log-newest")
 
-    # A host whose list is older than the limit reads for itself, whatever it hears.
-    # With the limit of 0.1 s of the other tests, all six did so once the process had
-    # stood still for that long.
+    # A host whose list is older than the limit reads for itself, whatever it learns.
+    # With the limit of 0.1 s of the other tests, all six did so whenever the process
+    # had stood still for that long.
     settings = GATEWAY_SETTINGS.with_values(
         target_age_limit_s=GatewaySettings().target_age_limit_s
     )
-    # Every one of six reads the configuration and the suspected requests, and one the
-    # list; another one may be about to read it when the first one tells of it.
+    # Each of six hosts reads the configuration and the suspected requests, and one host
+    # reads the list; another host may be about to read it when the digest arrives.
     assert run_fleet(test, entry_count=6, settings=settings) <= 14
--- a/siskinthread/platform/tests/test_shared_target_reads.py
+++ b/siskinthread/platform/tests/test_shared_target_reads.py
@@ -1,7 +1,7 @@
-"""Real gateways of several failure domains that share one read of the target list.
+"""Gateways of several failure domains that share one read of the target list.
 
 A target that is being removed must get no request later than 2 s after the store has
-confirmed that, whatever becomes of readers.
+confirmed the removal, whatever happens to readers.
 """
 
 import curio
@@ -18,7 +18,7 @@
 SETTLE_S = 2.5
 TARGET = "i-0-1"
 DOMAINS = "aabbcc"
-# Also before a store that reports none.
+# Each test also runs with a store that reports no era.
 ERAS = pytest.mark.parametrize("era", [FIRST_ERA, None])
 
 
@@ -49,8 +49,8 @@
     return min(fleet.entries, key=lambda one: str(one.address))
 
 
-async def leave_s(fleet, entries):
-    """Let a target leave; return until when some entries still used it, seconds."""
+async def seconds_until_unused(fleet, entries):
+    """Let a target leave; return the seconds until no entry of some uses it."""
     began_s = SYSTEM_CLOCK.monotonic_s()
     await fleet.put_target(TARGET, 2, state="draining")
     await until(
@@ -60,28 +60,28 @@
 
 
 def others(fleet, *gone):
-    """Return the entries but some."""
+    """Return all entries except some."""
     return [one for one in fleet.entries if one not in gone]
 
 
 def test_failure_domains_share_one_read_of_the_list():
-    """Guards against a read a second for each failure domain."""
+    """Guards against one read a second for each failure domain."""
 
     async def test(fleet):
         before = list_reads(fleet)
         await curio.sleep(5.0)
         return list_reads(fleet) - before
 
-    # Five reads of the first reader, and some where its word came late.
+    # Five reads of the first reader, and some where its message came late.
     assert run_fleet(test) <= 9
 
 
 @ERAS
 def test_target_that_leaves_is_noticed_everywhere(era):
-    """Guards against a word that is passed on and hides a change."""
+    """Guards against forwarded confirmations that hide a change."""
 
     async def test(fleet):
-        return await leave_s(fleet, fleet.entries)
+        return await seconds_until_unused(fleet, fleet.entries)
 
     assert run_fleet(test, era=era) < BOUND_S
 
@@ -91,25 +91,25 @@
     await reader.stop()
 
 
-async def turn_away(reader, fleet):
-    """Let the store refuse the first reader."""
+async def refuse(reader, fleet):
+    """Let the store refuse the calls of the first reader."""
     await reader.set_store_mode("busy")
 
 
 async def cut_from_store(reader, fleet):
-    """Let calls of the first reader go unanswered."""
+    """Leave the calls of the first reader unanswered."""
     await reader.set_store_mode("silent")
 
 
 async def cut_from_all(reader, fleet):
-    """Let the first reader and the others lose each other's news."""
+    """Drop all gossip between the first reader and the others."""
     reader.cut_from.update(one.address for one in fleet.entries)
     for one in fleet.entries:
         one.cut_from.add(reader.address)
 
 
 async def cut_its_domain(reader, fleet):
-    """Let the first reader's failure domain and the others lose their news."""
+    """Drop all gossip between the first reader's failure domain and the others."""
     for one in fleet.entries:
         far = [other for other in fleet.entries if other.domain != one.domain]
         if one.domain == reader.domain:
@@ -120,46 +120,46 @@
 
 @ERAS
 @pytest.mark.parametrize(
-    "fail", [kill, turn_away, cut_from_store, cut_from_all, cut_its_domain]
+    "fail", [kill, refuse, cut_from_store, cut_from_all, cut_its_domain]
 )
 def test_first_reader_that_fails_delays_within_the_bound(fail, era):
-    """Guards against failure domains that depend on one another's readers."""
+    """Guards against failure domains that depend on the reader of another one."""
 
     async def test(fleet):
         reader = first_reader(fleet)
         await fail(reader, fleet)
-        return await leave_s(fleet, others(fleet, reader))
+        return await seconds_until_unused(fleet, others(fleet, reader))
 
     assert run_fleet(test, era=era) < BOUND_S
 
 
 @ERAS
 def test_all_readers_that_fail_delay_within_the_bound(era):
-    """Guards against a failure domain in which nobody reads."""
+    """Guards against a failure domain without a reader."""
 
     async def test(fleet):
         readers = [fleet.of_domain(domain)[0] for domain in "abc"]
         for reader in readers:
             await reader.stop()
-        return await leave_s(fleet, others(fleet, *readers))
+        return await seconds_until_unused(fleet, others(fleet, *readers))
 
     assert run_fleet(test, era=era) < BOUND_S
 
 
 @ERAS
 def test_compacted_list_makes_no_host_miss_a_target_that_leaves(era):
-    """Guards against a position behind which the store has dropped its records."""
+    """Guards against a position after which the store has dropped its records."""
 
     async def test(fleet):
         await fleet.put_target("i-1-1", 2)
         fleet.store.topics["keyed.servers"].forget()
-        return await leave_s(fleet, fleet.entries)
+        return await seconds_until_unused(fleet, fleet.entries)
 
     assert run_fleet(test, era=era) < BOUND_S
 
 
 def test_setting_has_each_failure_domain_read_for_itself():
-    """Guards against a switch that does not switch."""
+    """Guards against a setting without effect."""
 
     async def test(fleet):
         before = list_reads(fleet)
--- a/siskinthread/platform/tests/test_spared_reads.py
+++ b/siskinthread/platform/tests/test_spared_reads.py
@@ -1,7 +1,7 @@
-"""Real gateways of which the readers of a failure domain spare the others reads.
+"""Gateways of a failure domain in which readers spare the others their reads.
 
-The bounds are those of all hosts: a configuration is in force within 3 s, aim 1 s, an
-evacuation within 1 s, whatever becomes of readers.
+The bounds hold for all hosts, whatever happens to readers: a configuration is in force
+within 3 s (objective 1 s), an evacuation within 1 s.
 """
 
 import curio
@@ -17,13 +17,13 @@
 AIM_S = 1.0
 EVACUATION_BOUND_S = 1.0
 READER_COUNT = 2
-# Also before a store that reports none.
+# Each test also runs with a store that reports no era.
 ERAS = pytest.mark.parametrize("era", [FIRST_ERA, None])
 SPARED_COUNT = 3
 
 
-class Spared:
-    """A fleet whose readers, by their addresses, spare the others."""
+class SparedFleet:
+    """A fleet whose hosts with the lowest addresses are readers for the others."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -32,21 +32,21 @@
         self.others = hosts[READER_COUNT:]
 
     async def settle(self):
-        """Wait until the hosts that are no readers are spared."""
+        """Wait until the reads of all hosts that are not readers are spared."""
         await until(lambda: len(self.fleet.entries) == self._heard_count())
-        # Reads that wait would go on for 8 s.
+        # Waiting reads would otherwise last for 8 s; a change ends them.
         await self.fleet.publish()
         await self.fleet.until_in_force(self.fleet.version)
         await until(self.are_spared, limit_s=10.0)
-        # The pause after a change is over.
+        # Let the pause after a change pass.
         await curio.sleep(0.6)
 
     def are_spared(self):
-        """Return whether all hosts that are no readers are spared their reads."""
+        """Return whether all hosts that are not readers are spared their reads."""
         return all(_follower(one).is_spared() for one in self.others)
 
     async def change_and_evacuate(self, entries):
-        """Publish, and evacuate a domain; return how long both take, seconds."""
+        """Publish, and evacuate a domain; return the seconds until each is known."""
         began_s = SYSTEM_CLOCK.monotonic_s()
         await self.fleet.store.evacuate("z")
         await self.fleet.publish()
@@ -66,11 +66,11 @@
 
 
 def run_spared(test, domains="aaaaa", **fields):
-    """Run an async test with a `Spared` fleet that has settled."""
+    """Run an async test with a `SparedFleet` that has settled."""
 
     async def main():
         async with running_fleet(domains, **fields) as fleet:
-            spared = Spared(fleet)
+            spared = SparedFleet(fleet)
             await spared.settle()
             return await curio.timeout_after(HANG_S, test, spared)
 
@@ -95,7 +95,7 @@
 
 @ERAS
 def test_series_of_changes_is_in_force_in_time(era):
-    """Guards against pauses of readers and of the others that add up."""
+    """Guards against pauses of readers and of other hosts that add up."""
 
     async def test(spared):
         before = spared.fleet.table_reads(spared.others)
@@ -122,23 +122,23 @@
 
 
 async def freeze(reader, fleet):
-    """Stop a reader, which neither reads nor tells from then on."""
+    """Stop a reader, which neither reads nor sends messages from then on."""
     await reader.set_store_mode("silent")
     reader.cut_from.update(one.address for one in fleet.entries)
 
 
 async def cut_from_store(reader, fleet):
-    """Let a reader's calls go unanswered, those under way too."""
+    """Leave a reader's calls unanswered, including those under way."""
     await reader.set_store_mode("silent")
 
 
-async def turn_away(reader, fleet):
-    """Let the store refuse a reader."""
+async def refuse(reader, fleet):
+    """Let the store refuse a reader's calls."""
     await reader.set_store_mode("busy")
 
 
 async def cut_from_domain(reader, fleet):
-    """Let a reader and the others lose each other's news."""
+    """Drop all gossip between a reader and the others."""
     reader.cut_from.update(one.address for one in fleet.entries)
     for one in fleet.entries:
         one.cut_from.add(reader.address)
@@ -146,11 +146,11 @@
 
 @ERAS
 @pytest.mark.parametrize(
-    "fail", [kill, freeze, cut_from_store, turn_away, cut_from_domain]
+    "fail", [kill, freeze, cut_from_store, refuse, cut_from_domain]
 )
 @pytest.mark.parametrize("number", [0, 1])
 def test_one_reader_that_fails_delays_nothing(fail, number, era):
-    """Guards against hosts that depend on one reader."""
+    """Guards against hosts that depend on a single reader."""
 
     async def test(spared):
         await fail(spared.readers[number], spared.fleet)
@@ -164,7 +164,7 @@
 @ERAS
 @pytest.mark.parametrize("fail", [kill, freeze, cut_from_domain])
 def test_hosts_without_any_reader_read_for_themselves(fail, era):
-    """Guards against a change that is unknown while all readers are gone."""
+    """Guards against a change that stays unknown while all readers are gone."""
 
     async def test(spared):
         for reader in spared.readers:
@@ -177,9 +177,9 @@
 
 
 @ERAS
-@pytest.mark.parametrize("fail", [cut_from_store, turn_away])
-def test_store_that_turns_all_readers_away_delays_within_the_bound(fail, era):
-    """Guards against readers that tell on although the store answers them nothing."""
+@pytest.mark.parametrize("fail", [cut_from_store, refuse])
+def test_store_that_refuses_all_readers_delays_within_the_bound(fail, era):
+    """Guards against readers that claim to be current while the store refuses them."""
 
     async def test(spared):
         for reader in spared.readers:
@@ -191,14 +191,14 @@
 
 
 @ERAS
-def test_lost_news_delay_within_the_bound(era):
-    """Guards against a host that waits for news while they are lost for 3 s."""
+def test_lost_messages_delay_within_the_bound(era):
+    """Guards against a host that waits for messages while they are lost for 3 s."""
 
     async def test(spared):
-        deaf = spared.others[0]
+        isolated = spared.others[0]
         for one in spared.fleet.entries:
-            one.cut_from.add(deaf.address)
-        changed_s, evacuated_s = await spared.change_and_evacuate([deaf])
+            one.cut_from.add(isolated.address)
+        changed_s, evacuated_s = await spared.change_and_evacuate([isolated])
         assert changed_s < AIM_S
         assert evacuated_s < EVACUATION_BOUND_S
         await curio.sleep(3.0)
@@ -210,7 +210,7 @@
 
 
 def test_restored_store_reverts_no_version():
-    """Guards against positions of lost records, which are given out again."""
+    """Guards against reading on from positions of lost records, which are reused."""
 
     async def test(spared):
         spared.fleet.store.keep_copy()
@@ -228,7 +228,7 @@
 
 
 def test_store_that_begins_to_report_an_era_reverts_no_version():
-    """Guards against positions without an era, behind which records may be lost."""
+    """Guards against positions without an era, after which records may be lost."""
 
     async def test(spared):
         fleet = spared.fleet
@@ -251,7 +251,7 @@
 
 @ERAS
 def test_dropped_history_makes_no_host_miss_a_change(era):
-    """Guards against positions behind which the store has dropped its records."""
+    """Guards against positions after which the store has dropped its records."""
 
     async def test(spared):
         await spared.fleet.store.put("keyed.op", "other", {})
@@ -264,7 +264,7 @@
 
 @ERAS
 def test_outage_of_the_store_is_over_for_all(era):
-    """Guards against hosts that stay behind, or on their own, after an outage."""
+    """Guards against hosts that stay behind, or read on their own, after an outage."""
 
     async def test(spared):
         spared.fleet.store.mode = "busy"
@@ -289,7 +289,7 @@
 
 
 def test_small_failure_domains_read_for_themselves():
-    """Guards against a failure domain that relies on another one's readers."""
+    """Guards against a failure domain that relies on the readers of another one."""
 
     async def main():
         async with running_fleet("aab") as fleet:
--- a/siskinthread/platform/tests/test_stops.py
+++ b/siskinthread/platform/tests/test_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of an entry: what is under way ends, and nothing is cut off."""
+"""Planned stops of an entry: requests under way finish, and nothing is aborted."""
 
 import curio
 
@@ -18,10 +18,10 @@
 
 
 def test_planned_stop_finishes_streams_and_refuses_nothing_that_came():
-    """Symptom: a rolling restart cuts streams.
+    """Guards against streams that a rolling restart aborts.
 
-    Events: a stop begins while a stream runs.  Readiness fails, the stream goes on to
-    its end, and a request that comes before the balancer has noticed is answered.
+    A stop begins while a stream runs.  Readiness fails, the stream continues to its
+    end, and a request that arrives before the balancer has noticed is answered.
     """
 
     async def test(system):
@@ -46,11 +46,12 @@
 
 
 def test_idle_connections_are_closed_soon_after_the_balancer_has_noticed():
-    """Symptom: a stream that began 3.03 s after a stop was cut off at its end.
+    """Guards against a stream that begins late in a drain and is aborted at its end.
 
-    Events: a caller sends its next request on a kept connection just before that is
-    closed; the process is killed 5 s later, with the stream still running.  Cause:
-    idle connections were kept for up to 3.1 s after the stop began.
+    A caller sends its next request on a kept connection just before that is closed; the
+    process is killed 5 s later, with the stream still running.  With idle connections
+    kept for up to 3.1 s after the stop began, a stream that began after 3.03 s was
+    aborted.
     """
 
     async def test(system):
@@ -66,5 +67,5 @@
     assert run_system(test, balancer_notice_s=0.1, idle_grace_s=0.1) == b""
     defaults = GatewaySettings()
     last_s = defaults.balancer_notice_s + defaults.idle_grace_s
-    # A platform that stops a process lets streams of the first 3 s run out.
+    # The platform's grace period covers streams that begin within the first 3 s.
     assert last_s + 2 * defaults.watch_interval_s < 2.9
--- a/siskinthread/platform/tests/test_store_era.py
+++ b/siskinthread/platform/tests/test_store_era.py
@@ -1,4 +1,4 @@
-"""The era that the store tells, in whatever answer."""
+"""The era that the store reports in its answers."""
 
 import json
 
@@ -67,7 +67,7 @@
     ],
 )
 def test_era_is_read_or_unknown(headers, expected):
-    """Whatever is no whole number, or stands there twice, is no word of an era."""
+    """A value that is no whole number, or that occurs twice, counts as no era."""
     assert EraReader(EraWatch(Metrics())).read(headers) == expected
 
 
@@ -84,7 +84,7 @@
 def test_positions_without_an_era_are_compared_if_none_was_ever_reported(
     answers, is_comparable
 ):
-    """Guards against hosts that rely on a peer though the store can come back older."""
+    """Guards against hosts that rely on a peer though the store may come back older."""
     eras = EraWatch(Metrics())
     reader = EraReader(eras)
     for headers in answers:
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("status", [200, 409, 410, 412, 429, 503])
-def test_refusals_tell_the_era_too(status):
+def test_refusals_report_the_era_too(status):
     """A store that refuses this host may have been restored meanwhile."""
 
     async def test(store, client):
@@ -106,8 +106,8 @@
     assert run_client(test) == 2
 
 
-def test_position_of_an_earlier_era_is_not_asked_for():
-    """What the store has there now is not what this host has read up to."""
+def test_position_of_an_earlier_era_is_not_read_from():
+    """After a restore, a position may hold other records than those that were read."""
 
     async def test(store, client):
         await client.eras.note(3, told_by="test")
@@ -119,7 +119,7 @@
 
 
 def test_late_answer_of_an_earlier_era_changes_nothing():
-    """A kept connection may deliver what was true before the restore."""
+    """A kept connection may deliver state from before the restore."""
 
     async def test(store, client):
         await client.eras.note(3, told_by="test")
@@ -133,7 +133,7 @@
 
 
 class ForgottenConnection(AnsweringStore):
-    """Answers on its first connection as before the restore, for good."""
+    """Answers on its first connection with the state before the restore, always."""
 
     def __init__(self):
         super().__init__()
@@ -147,10 +147,10 @@
         await super().handle(request, exchange)
 
 
-def test_connection_that_answers_from_before_is_not_used_again():
-    """Symptom: a host serves by old news for as long as one connection lives.
+def test_connection_with_answers_of_an_earlier_era_is_not_reused():
+    """Guards against a host with stale state for as long as one connection lives.
 
-    Events: the store comes back older; a kept connection still reaches what it was.
+    The store comes back older; a kept connection still reaches the former store.
     """
 
     async def test(store, client):
@@ -163,37 +163,37 @@
     assert run_client(test, ForgottenConnection()) == 2
 
 
-def test_store_that_tells_no_era_works_on():
-    """An older store has no such header, in any answer."""
+def test_store_without_an_era_is_supported():
+    """An older store has no such header in any answer."""
 
     async def test(store, client):
         store.headers = []
         position = (await client.read_newest(TOPIC))[1]
-        records, behind = await client.read_changes(TOPIC, position)
-        return position.era, behind.offset, client.eras.newest
+        records, next_position = await client.read_changes(TOPIC, position)
+        return position.era, next_position.offset, client.eras.newest
 
     assert run_client(test) == (None, 7, None)
 
 
 def test_missing_header_is_no_new_era():
-    """One answer without it does not have everything read anew."""
+    """One answer without the header does not cause a complete read."""
 
     async def test(store, client):
         position = (await client.read_newest(TOPIC))[1]
         store.headers = []
-        _, behind = await client.read_changes(TOPIC, position)
+        _, next_position = await client.read_changes(TOPIC, position)
         store.headers = [("store-era", "1")]
-        await client.read_changes(TOPIC, behind)
-        return behind.era
+        await client.read_changes(TOPIC, next_position)
+        return next_position.era
 
     assert run_client(test) == 1
 
 
-def test_read_that_waits_is_given_up_when_an_era_begins():
-    """Symptom: a change comes into force only when the next one is published.
+def test_waiting_read_is_cancelled_when_an_era_begins():
+    """Guards against a change that comes into force only with the next one.
 
-    Events: a read waits behind records that the store has lost; another call shows
-    the new era.  Cause: the store answers that read when there is a record there.
+    A read waits after records that the store has lost; another call shows the new era.
+    The store would answer the read only once there is a record at its position.
     """
 
     async def test(store, client):
@@ -212,8 +212,8 @@
     assert run_client(test, PlatformStoreStandin()) is SourceRestoredError
 
 
-def test_waiting_read_whose_own_answer_tells_the_era_is_read_anew():
-    """The read must not be broken off by itself."""
+def test_waiting_read_whose_own_answer_reports_the_era_is_read_anew():
+    """The read must not be cancelled by the era in its own answer."""
 
     async def test(store, client):
         _, position = await client.read_newest(TOPIC)
@@ -224,8 +224,8 @@
     run_client(test)
 
 
-def test_read_from_behind_the_end_is_told_as_a_restore():
-    """The store answers 410 there, and its era is why."""
+def test_read_after_the_end_is_reported_as_a_restore():
+    """The store answers 410 there; its era shows the cause."""
 
     async def test(store, client):
         await store.put(TOPIC, "i-1", {"a": 1})
@@ -240,9 +240,9 @@
 
 
 def test_member_joins_anew_after_a_restore():
-    """Symptom: two hosts hold the same share for as long as it takes to lapse.
+    """Guards against two hosts that hold the same share until it lapses.
 
-    Events: a member joins with a generation that the store has not reached again.
+    A member must not join with a generation that the store has not reached again.
     """
 
     async def test(store, client):
@@ -259,7 +259,10 @@
 
 
 def test_changes_are_read_up_to_the_end_of_the_log():
-    """A list that lacked what did not fit into one answer counted as just read."""
+    """Guards against a truncated list that counts as just read.
+
+    The changes don't fit into one answer.
+    """
     store = PlatformStoreStandin()
     store.read_limit_bytes = 100
 
@@ -268,9 +271,9 @@
         calls_before = len(store.calls)
         for number in range(50):
             await store.put(TOPIC, f"i-{number}", {"state": "ready"})
-        records, behind = await client.read_changes(TOPIC, position)
+        records, next_position = await client.read_changes(TOPIC, position)
         assert len(store.calls) - calls_before > 1
-        return [one.key for one in records], behind.offset
+        return [one.key for one in records], next_position.offset
 
     keys = [f"i-{number}" for number in range(50)]
     assert run_client(test, store) == (keys, 50)
--- a/siskinthread/platform/tests/test_stored_suspects.py
+++ b/siskinthread/platform/tests/test_stored_suspects.py
@@ -43,12 +43,12 @@
         self._tasks = []
 
     async def start(self):
-        """Follow the store."""
+        """Start to follow the store."""
         runs = (self._follower.read, self._follower.write)
         self._tasks = [await curio.spawn(run) for run in runs]
 
     async def stop(self):
-        """Follow it no more."""
+        """Stop to follow the store."""
         for task in self._tasks:
             await task.cancel()
 
@@ -58,7 +58,7 @@
             await self.register.target_ended(fingerprint, target)
 
     def is_kept_off(self, fingerprint):
-        """Return whether a request is kept off targets."""
+        """Return whether a request is held back from targets."""
         return self.register.kept_off_until(fingerprint) is not None
 
 
@@ -80,12 +80,12 @@
 
 
 def stored(store):
-    """Return the requests that the store has a record of."""
+    """Return the requests of which the store has a record."""
     return set(store.topics[TOPIC].newest) if TOPIC in store.topics else set()
 
 
-def test_one_end_is_not_worth_a_call_and_two_are():
-    """Most servers that end do so by themselves; their requests come to nothing."""
+def test_one_end_is_not_written_and_two_are():
+    """A single end is not written, as most servers end without a request's fault."""
 
     async def test(store, clock, one, two):
         await one.start()
@@ -100,10 +100,10 @@
     run_hosts(test)
 
 
-def test_store_that_is_away_gets_the_record_later():
-    """Symptom: what three servers were lost for is forgotten with the processes.
+def test_unavailable_store_gets_the_record_later():
+    """Guards against losing with the processes what three servers were lost for.
 
-    Events: the store is away while the servers end, and comes back.
+    The store is unavailable while the servers end, and comes back.
     """
 
     async def test(store, clock, one, two):
@@ -119,8 +119,8 @@
     run_hosts(test)
 
 
-def test_answer_takes_the_record_away_for_all():
-    """Symptom: hosts that start later refuse a request that was cleared."""
+def test_answer_drops_the_record_for_all():
+    """Guards against hosts that start later and refuse a request that was cleared."""
 
     async def test(store, clock, one, two):
         await one.start()
@@ -134,25 +134,25 @@
 
 
 def test_operator_releases_a_request_by_dropping_its_record():
-    """What the servers have been mended for need not wait for ten minutes."""
+    """A request whose cause has been fixed need not wait for ten minutes."""
 
     async def test(store, clock, one, two):
         await one.start()
         await two.start()
         await one.end_targets(POISON, "i-1", "i-2", "i-3")
         await until(lambda: two.is_kept_off(POISON))
-        told_before = one.register.statements()
+        earlier_statements = one.register.statements()
         await two.store.write(TOPIC, [KeyedRecord(POISON, None)])
         await until(lambda: not one.is_kept_off(POISON) and not two.is_kept_off(POISON))
-        # News that were under way meanwhile don't bring it back.
-        await two.register.hear(told_before, "peer")
+        # Messages that were under way meanwhile don't restore the suspicion.
+        await two.register.hear(earlier_statements, "peer")
         assert not two.is_kept_off(POISON)
 
     run_hosts(test)
 
 
-def test_records_that_count_no_more_are_dropped():
-    """Symptom: the store fills, and a host that starts takes a day's records in."""
+def test_expired_records_are_dropped():
+    """Guards against a store that fills, and a start that reads a day's records."""
 
     async def test(store, clock, one, two):
         await one.start()
@@ -167,8 +167,8 @@
     run_hosts(test)
 
 
-def test_unreadable_records_say_nothing_and_hide_nothing():
-    """Symptom: one record of another writer, and no host learns of any other."""
+def test_unreadable_records_have_no_effect():
+    """Guards against one malformed record that hides all others."""
 
     async def test(store, clock, one, two):
         await store.put(TOPIC, "0001", 7)
@@ -184,9 +184,9 @@
 
 
 def test_history_that_the_store_has_dropped_is_read_anew():
-    """Symptom: a host never hears of a change again.
+    """Guards against a host that never learns of a change again.
 
-    Events: the store drops its history while a host waits for it to be there again.
+    The store drops its history while a host waits for the store to be back.
     """
 
     async def test(store, clock, one, two):
@@ -205,9 +205,10 @@
 
 
 def test_record_whose_answer_is_lost_is_not_written_again():
-    """Symptom: one record is written twice, and wakes all hosts twice.
+    """Guards against a record that is written twice, which wakes all hosts twice.
 
-    Events: the store takes the record, and its answer is lost; the read tells of it.
+    The store accepts the record, and its answer is lost; the next read returns the
+    record.
     """
 
     async def test(store, clock, one, two):
@@ -222,11 +223,11 @@
     run_hosts(test)
 
 
-def test_hosts_that_learn_the_same_at_one_moment_write_it_once_each_at_most():
-    """Symptom: a host writes over what it has not read.
+def test_hosts_that_learn_the_same_at_once_write_at_most_once_each():
+    """Guards against a host that overwrites what it has not read.
 
-    Events: two hosts see ends of their own at one moment, and write them.  One of them
-    reads the other's record first, so that the last record has all ends.
+    Two hosts observe ends at the same moment, and write them.  One of them reads the
+    other's record first, so that the last record holds all ends.
     """
 
     async def test(store, clock, one, two):
@@ -245,7 +246,7 @@
 
 
 class SlowSource(StoredSuspects):
-    """Takes as long to read all as entries may choose their turns from."""
+    """Takes as long for a complete read as the spread of the hosts' turns."""
 
     async def read_all(self):
         """Return all changes, late."""
@@ -266,7 +267,7 @@
         store.restore()
         calls_before = len(store.calls)
         await host.store.eras.note(store.era, "a peer")
-        # The next call after the whole read waits for changes.
+        # The next call after the complete read waits for changes.
         await until(lambda: "/siskinthread/log-read" in store.calls[calls_before:])
         await curio.sleep(SLOW.write_spread_s / 2)
         is_stored_soon = bool(stored(store))
--- a/siskinthread/platform/tests/test_streams.py
+++ b/siskinthread/platform/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""What becomes of a stream that a server declines, breaks off or goes on with."""
+"""Streams that a server declines, breaks off or continues."""
 
 import curio
 
@@ -17,7 +17,7 @@
 
 
 def test_declined_stream_goes_to_another_server():
-    """A second attempt follows a decline where the route allows one."""
+    """A second attempt follows a decline if the route allows it."""
 
     async def test(system):
         behave(system, faults.decline, faults.stream(1, 5))
@@ -28,10 +28,10 @@
 
 
 def test_broken_stream_is_continued_behind_its_last_whole_event():
-    """Symptom: an event is missing, torn or doubled in a stream.
+    """Guards against missing, torn or repeated events in a stream.
 
-    Events: a server fails in the middle of the third event.  The next one is told the
-    second as the last, and the caller sees one stream with one head.
+    A server fails in the middle of the third event.  The next server receives the
+    second as the last event id, and the caller sees one stream with one head.
     """
 
     async def test(system):
@@ -45,10 +45,10 @@
     assert sorted(last_ids, key=str) == ["2", None]
 
 
-def test_stream_that_goes_on_elsewhere_with_a_gap_is_not_whole():
-    """Symptom: a stream looks whole and lacks an event.
+def test_stream_continued_with_a_gap_stays_incomplete():
+    """Guards against a stream that looks complete and lacks an event.
 
-    Events: after a failure behind event 2, the next server begins with event 4.
+    After a failure after event 2, the next server begins with event 4.
     """
 
     async def test(system):
@@ -74,9 +74,9 @@
 
 
 def test_stream_is_not_continued_by_another_kind_of_answer():
-    """Symptom: a second head within a stream.
+    """Guards against a second head within a stream.
 
-    Events: the server that should continue a stream answers it with a failure.
+    The server that should continue a stream answers with a failure.
     """
 
     async def test(system):
@@ -89,14 +89,14 @@
 
 
 def find_slow(system):
-    """Note the server that has got a request as slow, and return it."""
+    """Mark the server that has received a request as slow, and return it."""
     [slow] = [server for server in system.servers if server.seen]
     system.gateway.parts.slow_targets.note("g", [slow.instance_id])
     return slow
 
 
 def run_slow(*behaviours, **options):
-    """Return the response to a stream whose server turns slow, and ids told as last."""
+    """Return the response of a server that turns slow, and the last event ids."""
 
     async def test(system):
         behave(system, *behaviours)
@@ -109,11 +109,11 @@
     return run_system(test, **options)
 
 
-def test_stream_at_a_slow_server_goes_on_at_another_one():
-    """Symptom: a group waits for its slow rank until the last stream there has ended.
+def test_stream_at_a_slow_server_continues_at_another_one():
+    """Guards against a group that waits for its slow rank until its last stream ends.
 
-    Events: a server becomes slow within a stream.  The rest of it comes from another
-    server, behind the last event that the caller has.
+    A server becomes slow during a stream.  The rest of the stream comes from another
+    server, after the last event that the caller has received.
     """
     response, last_ids = run_slow(
         faults.stream(1, 5, gap_s=0.1), faults.stream(2, 5, gap_s=0.0)
@@ -131,7 +131,7 @@
 
 
 def test_stream_stays_at_a_slow_server_if_it_may_have_no_other():
-    """The route allows one target, or there is no other one."""
+    """The route allows one target, or there is no other target."""
     document = published(
         routes=[route("/stream/", "streaming", resumable=True, attempts=1)]
     )
--- a/siskinthread/platform/tests/test_target_backoff.py
+++ b/siskinthread/platform/tests/test_target_backoff.py
@@ -1,4 +1,4 @@
-"""Servers that request back-off, or say in their answers that they leave."""
+"""Servers that request back-off, or announce in their answers that they leave."""
 
 import pytest
 
@@ -14,11 +14,11 @@
 from standins.platform_backoff import BackoffService, LeavingService
 from standins.platform_behaviours import answer_whole, decline, misdirect_with
 
-# Requests of one entry that a server may get within a back-off.
+# Requests of one entry that may reach a server within a back-off.
 ALLOWED_COUNT = 2
-# A refusal that waits for nothing takes less.
+# Upper bound of the time of an immediate refusal.
 AT_ONCE_S = 0.2
-ASKED_PER_S = 40
+REQUESTS_PER_S = 40
 DRAIN_S = 2.0
 
 
@@ -28,18 +28,18 @@
     Parameters
     ----------
     services : list
-        Behaviour of the first servers; the others serve.
+        Behaviours of the first servers; the others serve.
     entry_count : int
         Entries.
     load_s : float
-        Length of the load, seconds.
+        Duration of the load, seconds.
     """
 
     async def test(fleet):
         default = [answer_whole] * (len(fleet.servers) - len(services))
         for server, service in zip(fleet.servers, services + default, strict=True):
             server.serve_by(service)
-        load = Load(fleet, ASKED_PER_S)
+        load = Load(fleet, REQUESTS_PER_S)
         await load.run(fleet.entries, load_s)
         return load
 
@@ -51,7 +51,10 @@
 )
 @pytest.mark.parametrize("entry_count", [1, 4])
 def test_server_gets_the_backoff_that_it_requests(entry_count, says_not_run):
-    """A server requested 3 s of back-off and got 14 requests of that entry in it."""
+    """Guards against requests within a back-off.
+
+    A server that requested 3 s of back-off got 14 requests of one entry in that time.
+    """
     service = BackoffService("3", says_not_run=says_not_run)
     load = run_load([service], entry_count, load_s=4.5)
     assert service.asked_count >= 1
@@ -60,8 +63,11 @@
         assert load.served_share() >= 0.99
 
 
-def test_backoff_lasts_though_the_server_would_serve():
-    """A server that had requested back-off in its first 0.6 s got 7 requests in it."""
+def test_backoff_lasts_though_the_server_is_ready_again():
+    """Guards against a back-off that ends early.
+
+    A server that requested back-off during its first 0.6 s got 7 requests in it.
+    """
     service = BackoffService("3", asks_s=0.6)
     load = run_load([service], entry_count=4, load_s=4.5)
     assert service.most_in_a_backoff() <= ALLOWED_COUNT
@@ -69,7 +75,10 @@
 
 
 def test_callers_are_refused_at_once_while_all_servers_are_backed_off():
-    """Each of four servers got 8 requests in a back-off; callers were told nothing."""
+    """Guards against requests within a back-off, and refusals without a retry time.
+
+    Each of four servers got 8 requests in its back-off.
+    """
     services = [BackoffService("2", asks_s=0.6) for _ in range(4)]
     load = run_load(services, entry_count=4, load_s=4.0)
     assert max(service.most_in_a_backoff() for service in services) <= ALLOWED_COUNT
@@ -80,7 +89,7 @@
     ]
     assert all(b"retry-after: " in response.lower() for response, _ in refused)
     assert max(took_s for _, took_s in refused) <= AT_ONCE_S
-    # The last back-off began within 0.6 s of the load's begin, and lasts 2 s.
+    # The last back-off begins within 0.6 s of the start of the load, and lasts 2 s.
     begun_at_s = min(load.sent_at_s)
     late = [
         status
@@ -90,8 +99,11 @@
     assert set(late) == {200}
 
 
-def test_servers_that_request_backoff_again_and_again_cost_callers_nothing():
-    """163 of 400 requests were refused though two of four servers were free."""
+def test_servers_that_request_backoff_repeatedly_cause_no_refusals():
+    """Guards against refusals while half of the servers are free.
+
+    Without the bound, 163 of 400 requests were refused with two of four servers free.
+    """
     services = [BackoffService("0.8") for _ in range(2)]
     load = run_load(services, entry_count=4, load_s=5.0)
     assert max(service.most_in_a_backoff() for service in services) <= ALLOWED_COUNT
@@ -99,10 +111,11 @@
 
 
 @pytest.mark.parametrize("entry_count", [1, 4])
-def test_server_that_says_it_leaves_gets_no_more_requests(entry_count):
-    """A server got 58 requests that were sent 2 s after it had said that it leaves.
+def test_server_that_announces_leaving_gets_no_more_requests(entry_count):
+    """Guards against requests to a server that has announced that it leaves.
 
-    Its entry in the list of targets still has it as ready.
+    Its entry in the target list still shows it as ready; without the announcement it
+    got 58 requests that were sent 2 s after it.
     """
     service = LeavingService(serves_s=0.5)
     load = run_load([service], entry_count, load_s=4.0)
@@ -110,26 +123,26 @@
     assert load.served_share() == 1.0
 
 
-def test_leaving_that_one_entry_was_told_of_holds_for_all():
-    """Each entry lost a request to a leaving server before it knew."""
+def test_leaving_known_to_one_entry_applies_to_all():
+    """Guards against one lost request per entry at a leaving server."""
     service = LeavingService(serves_s=0.5, tells_only="entry-0")
     load = run_load([service], entry_count=4, load_s=3.0)
-    # News come every 0.02 s here.
+    # Entries exchange messages every 0.02 s here.
     assert service.arrivals_behind_the_first_word(after_s=0.5) == []
     assert load.served_share() == 1.0
 
 
 class SlowPool:
-    """Connections whose opening takes until something has happened."""
+    """Connections that open only after an event has happened."""
 
-    def __init__(self, pool, happen):
+    def __init__(self, pool, trigger):
         self._pool = pool
-        self._happen = happen
+        self._trigger = trigger
 
     async def take(self, entry, may_reuse, deadline):
         """Return a connection to a target."""
         connection = await self._pool.take(entry, may_reuse, deadline)
-        self._happen(entry)
+        self._trigger(entry)
         return connection
 
     async def give_back(self, entry, connection, rest_limit_s):
@@ -140,33 +153,37 @@
         """Keep nothing."""
 
 
-@pytest.mark.parametrize("word", ["backoff", "leaving"])
-def test_request_is_withheld_if_its_target_speaks_while_it_is_connected(word):
-    """A request that had been chosen before the answer still went out behind it."""
+@pytest.mark.parametrize("announcement", ["backoff", "leaving"])
+def test_request_is_withheld_if_its_target_refuses_during_connect(announcement):
+    """Guards against sending a request after its target has refused further ones.
+
+    The target is chosen first; its back-off or leaving becomes known while the
+    connection is opened.
+    """
 
     async def test(system):
         parts = system.gateway.parts
-        spoken = []
+        announced = []
 
-        def speak(entry):
-            if not spoken:
-                spoken.append(entry.instance_id)
-                if word == "backoff":
+        def announce(entry):
+            if not announced:
+                announced.append(entry.instance_id)
+                if announcement == "backoff":
                     parts.backoffs.note_answer(entry, 0.0, StatedBackoff(3.0))
                 else:
                     parts.targets.note_says_leaving(entry.instance_id)
 
-        parts.pool = SlowPool(parts.pool, speak)
+        parts.pool = SlowPool(parts.pool, announce)
         response = await system.request(SAFE_PATH)
         seen = {one.instance_id for one in system.servers if one.seen}
         spent = parts.budgets._budget("app")._retry_expiries
-        return status_of(response), seen.isdisjoint(spoken), len(spent)
+        return status_of(response), seen.isdisjoint(announced), len(spent)
 
     assert run_system(test) == (200, True, 0)
 
 
-def test_repeat_is_paid_for_only_if_there_is_a_target():
-    """A request that no target could take used up another one's repeat."""
+def test_retry_is_charged_only_if_there_is_a_target():
+    """Guards against charging a retry that no target can take to the budget."""
 
     async def test(system):
         behave(system, decline)
@@ -177,8 +194,8 @@
     assert run_system(test, server_count=1) == (503, 0)
 
 
-def test_what_another_instance_asks_for_does_not_concern_the_expected_one():
-    """A server was limited to what the one at its former address takes."""
+def test_limits_of_another_instance_do_not_apply_to_the_expected_one():
+    """Guards against applying the limits of a server that has reused an address."""
 
     async def test(system):
         behave(system, misdirect_with("Retry-After: 30", "Server-Limit: 1"))
--- a/siskinthread/platform/tests/test_target_limits.py
+++ b/siskinthread/platform/tests/test_target_limits.py
@@ -1,4 +1,4 @@
-"""Servers in need that name the rate of requests that they take from all entries."""
+"""Servers that state the rate of requests that they accept from all entries."""
 
 import pytest
 
@@ -7,21 +7,21 @@
 from siskinthread.platform.tests.system import status_of
 from standins.platform_limits import LimitedService
 
-# What the users' platform allows beside a limit, in any window, once the limit has
-# been named for so long.
+# Window of the platform's rule on limits, and the time after which a stated limit must
+# be obeyed.
 WINDOW_S = 4.0
 SETTLED_S = 3.0
 LOAD_S = 9.0
-ASKED_PER_S = 48
+REQUESTS_PER_S = 48
 
 
 def allowed_count(limit_per_s):
-    """Return the most arrivals that a window may have."""
+    """Return the largest allowed number of arrivals in a window."""
     return 1.5 * limit_per_s * WINDOW_S + 5
 
 
 def limit_servers(fleet, limits):
-    """Let each server name its limit; return its behaviour."""
+    """Let each server state its limit; return the behaviours."""
     services = [LimitedService(limit) for limit in limits]
     for server, service in zip(fleet.servers, services, strict=True):
         server.serve_by(service)
@@ -29,7 +29,7 @@
 
 
 def most_after_settling(service):
-    """Return the most arrivals of a window once the limit must be obeyed."""
+    """Return the most arrivals of a window after the limit must be obeyed."""
     return service.most_within(WINDOW_S, service.named_at_s + SETTLED_S)
 
 
@@ -38,16 +38,17 @@
     "limits", [("4", None, None, None), ("6", "6", "6", "6")], ids=["one", "all"]
 )
 def test_servers_get_no_more_than_they_take_from_all_entries(limits, entry_count):
-    """A server in need got 53 requests in 4 s where its limit allowed 29.
+    """Guards against exceeding the limits that servers state in their answers.
 
-    It named 4 requests a second in each answer, and nothing read it; of four servers
-    that named 6 each got 51 to 57 where 41 were allowed.  Callers come to four entries
-    evenly, or all to one, whose share must not be a quarter then.
+    With its limit ignored, a server that stated 4 requests a second got 53 requests in
+    4 s where 29 were allowed; four servers that stated 6 each got 51 to 57 where 41
+    were allowed. Callers come to four entries evenly, or all to one, whose share must
+    not be a quarter then.
     """
 
     async def test(fleet):
         services = limit_servers(fleet, limits)
-        load = Load(fleet, ASKED_PER_S)
+        load = Load(fleet, REQUESTS_PER_S)
         await load.run(fleet.entries[:entry_count], LOAD_S)
         return services, load
 
@@ -58,10 +59,10 @@
             assert most <= allowed_count(float(service.limit))
     served_count = load.statuses.count(200)
     if None in limits:
-        # The others take what the one does not.
+        # The other servers serve what the limited one does not.
         assert served_count == len(load.statuses)
     else:
-        # A limit that is obeyed by sending nothing serves nobody.
+        # Sending nothing would keep the limit, and serve nobody.
         allowed_per_s = sum(float(limit) for limit in limits)
         assert served_count >= 0.8 * allowed_per_s * LOAD_S
         refused = [one for one in load.responses if status_of(one) == 503]
@@ -70,19 +71,19 @@
 
 
 def test_servers_whose_limits_are_over_are_used_again():
-    """Callers were refused for limits that had ended 7 s before.
+    """Guards against refusals because of limits that ended 7 s before.
 
-    All servers name a limit, the lowest one nothing at all, and then none any more;
-    the one that takes nothing is found to be back by a test.
+    All servers state a limit, the lowest of which is zero, and then none any more; a
+    test request finds that the server with the limit of zero is back.
     """
 
     async def test(fleet):
         services = limit_servers(fleet, ("0", "3", "3", "3"))
-        load = Load(fleet, ASKED_PER_S)
+        load = Load(fleet, REQUESTS_PER_S)
         await load.run(fleet.entries, for_s=3.0)
         for service in services:
             service.limit = None
-        # Until the last one is tested, and until all get as much as any other.
+        # Wait until the last server is tested, and all servers get equal load.
         await load.run(fleet.entries, for_s=6.0)
         for service in services:
             service.arrivals_s.clear()
--- a/siskinthread/platform/tests/test_targets_handed_on.py
+++ b/siskinthread/platform/tests/test_targets_handed_on.py
@@ -1,4 +1,4 @@
-"""What hosts hand on of the target list after a failure domain was cut off."""
+"""Targets in peers' lists after a failure domain was cut off."""
 
 import curio
 import pytest
@@ -9,18 +9,18 @@
 HANG_S = 40.0
 SETTLE_S = 2.5
 CUT_S = 2.0
-# Hosts that are in touch for so long must not use a target that has left.
+# After this time without a cut, no host may use a target that has left.
 IN_TOUCH_S = 3.0
 WATCHED_S = 3.0
 POLL_S = 0.02
 TOPIC = "keyed.servers"
-# One target announces its leaving, and the entry of another one is just removed.
+# One target announces that it leaves; the entry of another one is removed.
 LEAVING, REMOVED = "i-0-1", "i-1-1"
 TARGET_COUNT = 6
 
 
 async def cut_off(fleet, domain):
-    """Part a failure domain from the store and from all others."""
+    """Cut a failure domain off from the store and from all other domains."""
     for one in fleet.entries:
         far = [other for other in fleet.entries if other.domain != one.domain]
         if one.domain == domain:
@@ -31,14 +31,14 @@
 
 
 async def heal(fleet):
-    """End each cut."""
+    """End all cuts."""
     for one in fleet.entries:
         one.cut_from.clear()
         await one.set_store_mode("up")
 
 
 def uses(entries):
-    """Return which of the two targets some entries may send requests, and who."""
+    """Return which of the two targets some entries may use, by target and entry."""
     return {
         (target, one.name)
         for one in entries
@@ -48,7 +48,7 @@
 
 
 async def leave(fleet):
-    """Let both targets leave while their records are read by hosts outside a cut."""
+    """Let both targets leave; hosts outside the cut read their records."""
     await fleet.put_target(LEAVING, 2, state="draining")
     await fleet.store.put(TOPIC, REMOVED, None)
     await until(lambda: not uses(fleet.of_domain("a") + fleet.of_domain("c")))
@@ -56,8 +56,8 @@
 
 
 @pytest.mark.parametrize("era", [1, None])
-def test_target_that_left_in_a_cut_is_not_handed_on_by_hosts_behind_it(era):
-    """Hosts got a target back that they had dropped, and used it from then on."""
+def test_target_that_left_in_a_cut_is_not_relisted_by_hosts_behind_it(era):
+    """Guards against hosts that get a dropped target back from peers, and use it."""
 
     async def test(fleet):
         await cut_off(fleet, "b")
--- a/siskinthread/platform/tests/test_urgent_burst.py
+++ b/siskinthread/platform/tests/test_urgent_burst.py
@@ -1,9 +1,9 @@
 """A burst of less urgent requests beside urgent ones, at several entries.
 
-Each entry, each server, the store and the callers are processes of their own.  What a
-run measured of the machine is printed beside the result, so that a failure under other
-load can be told from one of the product: pauses of two timers, how long each process
-waited for a processor, and the same for each urgent call that was not in time.
+Each entry, each server, the store and the callers are processes of their own.  The test
+prints figures of the machine beside the result, to tell a failure under other load from
+one of the product: pauses of two timers, how long each process waited for a processor,
+and the same for each urgent call that was late.
 """
 
 import os
@@ -26,25 +26,25 @@
 )
 
 OBJECTIVE_S = 0.4
-# Answers show what of the capacity is used only once the burst has filled the slots.
+# The used capacity can be seen from answers only once the burst has filled the slots.
 USED_FROM_S = BURST_FROM_S + 0.5
-# Until entries have read the list and heard of one another.
+# Time for entries to read the list and to learn of one another.
 SETTLING_S = 0.5
-# Enough of them to see what they have in common.
+# Number of late calls to print.
 SHOWN_CALLS = 12
 
 
 class Burst:
-    """What callers saw, and what was measured beside them.
+    """Results of the callers, and figures of the machine.
 
     Parameters
     ----------
     result : dict
-        What the callers printed.
+        Printed result of the callers.
     pauses : list of scripts.soak._pauses.Pause
-        Those of a process that only sleeps.
+        Pauses of a process that only sleeps.
     cpu_history : CpuHistory
-        Of all other processes.
+        Processor times of all other processes.
     """
 
     def __init__(self, result, pauses, cpu_history):
@@ -57,19 +57,19 @@
         self._cpu_history = cpu_history
 
     def share_in_time(self, path):
-        """Return the part of the burst's calls that was answered in time."""
+        """Return the fraction of the burst's calls that were answered in time."""
         calls = self._burst_calls(path)
         return sum(is_in_time(one) for one in calls) / len(calls)
 
     def used_share(self):
-        """Return the part of the capacity that the burst used."""
+        """Return the fraction of the capacity that the burst used."""
         times_s = [one["answered_s"] for one in self._calls]
         times_s = [one for one in times_s if one is not None]
         count = sum(USED_FROM_S <= at_s < BURST_TO_S for at_s in times_s)
         return count / (BURST_TO_S - USED_FROM_S) / CAPACITY_PER_S
 
     def measured(self):
-        """Return lines on what was measured of the machine in the burst."""
+        """Return lines with figures of the machine during the burst."""
         span_s = self._began_s + BURST_FROM_S, self._began_s + BURST_TO_S
         idle_share = self._cpu_history.idle_share(*span_s)
         yield (
@@ -77,7 +77,7 @@
             f"{idle_share:.3f} of their time idle"
         )
         latest_s = max(one["asked_s"] - one["due_s"] for one in self._calls)
-        yield f"latest call {latest_s:.3f} s behind its time"
+        yield f"latest call {latest_s:.3f} s after its due time"
         for name, pauses in self._pauses.items():
             lengths_s = [one.overlap_s(*span_s) for one in pauses]
             lengths_s = [one for one in lengths_s if one > 0]
@@ -92,7 +92,7 @@
             )
 
     def late_calls(self, path):
-        """Return a line on each call of the burst that was not in time."""
+        """Return a line on each call of the burst that was late."""
         for one in self._burst_calls(path):
             if is_in_time(one):
                 continue
@@ -117,7 +117,7 @@
 
 
 def is_in_time(call):
-    """Return whether a call was answered within the objective of its first try."""
+    """Return whether a call was answered within the objective of its first attempt."""
     answered_s = call["answered_s"]
     return answered_s is not None and answered_s - call["asked_s"] <= OBJECTIVE_S
 
@@ -137,10 +137,11 @@
 
 
 def test_urgent_requests_are_answered_in_a_burst_of_less_urgent_ones(tmp_path):
-    """Urgent requests were refused like the burst that filled all slots.
+    """Guards against refusing urgent requests while a burst fills all slots.
 
-    0.15 of them were answered within 400 ms of their first try, and 0.82 of the slots
-    were used; entries filled slots at once that had come free a moment before.
+    If entries refill slots at once that have just become free, 0.15 of the urgent
+    requests are answered within 400 ms of their first attempt, and 0.82 of the slots
+    are used.
     """
     burst, held_s = play(tmp_path)
     urgent_share, used_share = burst.share_in_time(URGENT), burst.used_share()
--- a/siskinthread/platform/tests/test_waiting.py
+++ b/siskinthread/platform/tests/test_waiting.py
@@ -28,7 +28,7 @@
 
 
 async def begin(system, path, count):
-    """Send requests at once; return their clients."""
+    """Send requests at once; return their connections."""
     clients = []
     for _ in range(count):
         client = await system.connect()
@@ -43,8 +43,8 @@
     [(STREAM_PATH, faults.stream(1, 5), EVENTS), (ONCE_PATH, None, b"done\n")],
     ids=["stream", "once"],
 )
-def test_group_breaks_for_a_moment(path, behaviour, body):
-    """Symptom: all that comes while a group forms anew is declined and refused.
+def test_requests_wait_while_a_group_is_broken_briefly(path, behaviour, body):
+    """Guards against refusing all requests that arrive while a group forms again.
 
     Guards as well against sending a request twice that may run once only.
     """
@@ -62,8 +62,8 @@
 
     responses, seen_ids = run_system(test, ejection_s=0.3, group_ejection_s=0.7)
     served = [one for one in responses if status_of(one) == 200]
-    # The first one was declined by a rank, which a request that may run once only is
-    # not sent on from.
+    # The first request was declined by a rank; one that may run once only is not sent
+    # to another.
     assert len(served) >= 7
     assert all(body_of(one) == body for one in served)
     for request_id in set(seen_ids):
@@ -72,7 +72,7 @@
 
 
 def test_entry_drains_while_requests_wait():
-    """Symptom: requests that wait are cut off by a stop, or hold it up."""
+    """Guards against a stop that aborts waiting requests, or that waits for them."""
 
     async def test(system):
         break_group(system)
@@ -95,7 +95,7 @@
 
 
 def test_caller_leaves_while_its_request_waits():
-    """Symptom: a request runs whose caller has left, or is logged as unknown."""
+    """Guards against running a request whose caller has left, or an unknown outcome."""
 
     async def test(system):
         break_group(system)
