--- a/scripts/choice_cost.py
+++ b/scripts/choice_cost.py
@@ -12,7 +12,12 @@
 from siskinthread.gateway._target_list import TargetEntry
 from siskinthread.load_control import SpeedStatement
 from siskinthread.observability import Metrics
-from siskinthread.peer_news import HostState, News, PeerNews, PeerNewsSettings
+from siskinthread.peer_news import (
+    HostState,
+    PeerGossip,
+    PeerGossipSettings,
+    PeerMessage,
+)
 from siskinthread.settings import Address
 from siskinthread.timing import Clock, Deadline
 
@@ -46,8 +51,8 @@
     parts.targets.replace(entries)
     if with_groups:
         parts.choice.group_of = lambda instance_id: f"g-{int(instance_id[2:], 16) % 2}"
-    peers = PeerNews(
-        PeerNewsSettings(), Address("10.0.0.1", 1), "a", [], clock, random.Random(1)
+    peers = PeerGossip(
+        PeerGossipSettings(), Address("10.0.0.1", 1), "a", [], clock, random.Random(1)
     )
     parts.loads.peers = parts.progress.peers = parts.accounts.peers = peers
     parts.slow_targets.peers = peers
@@ -73,7 +78,7 @@
     connection = TargetConnection(parts.settings, parts.clock)
     connection._socket, target_end = socket.socketpair()
     _TARGET_ENDS.append(target_end)
-    connection._rest_deadline = Deadline.after(parts.clock, 600.0)
+    connection._idle_deadline = Deadline.after(parts.clock, 600.0)
     parts.pool.idle.add(entry.instance_id, connection)
 
 
@@ -87,7 +92,7 @@
         counts = {one.instance_id: 1 for one in draw.sample(entries, 5)}
         address = Address(f"10.0.1.{number}", 1)
         state = HostState(1, True, counts, speeds=slow)
-        peers._take(News(address, DOMAINS[number % 3], state, []))
+        peers._receive(PeerMessage(address, DOMAINS[number % 3], state, []))
 
 
 if __name__ == "__main__":
--- a/siskinthread/gateway/__init__.py
+++ b/siskinthread/gateway/__init__.py
@@ -14,7 +14,7 @@
     RequestFacts,
     TokenCounts,
 )
-from siskinthread.gateway._served_reads import ToldTable, ToldTargets
+from siskinthread.gateway._served_reads import ServedTable, ServedTargets
 from siskinthread.gateway._settings import GatewaySettings
 from siskinthread.gateway._snapshots import Snapshot
 from siskinthread.gateway._status import STATUS_OK, StatusPage
@@ -49,6 +49,6 @@
     "TargetChange",
     "TargetEntry",
     "TokenCounts",
-    "ToldTable",
-    "ToldTargets",
+    "ServedTable",
+    "ServedTargets",
 ]
--- a/siskinthread/gateway/_account_shares.py
+++ b/siskinthread/gateway/_account_shares.py
@@ -25,7 +25,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Provides the requests of accounts at other hosts.
 
     Notes
--- a/siskinthread/gateway/_attempt.py
+++ b/siskinthread/gateway/_attempt.py
@@ -332,7 +332,7 @@
         if facts.closes:
             await connection.close()
         else:
-            await self._parts.pool.give_back(self.entry, connection, facts.rest_limit_s)
+            await self._parts.pool.give_back(self.entry, connection, facts.keep_alive_s)
 
     async def _receive_decline(self, facts):
         self.reason = "declined"
--- a/siskinthread/gateway/_avoided_targets.py
+++ b/siskinthread/gateway/_avoided_targets.py
@@ -85,7 +85,7 @@
                 )
             self._peer_backoffs[statement.instance_id] = end
 
-    def without(self, entries):
+    def exclude_avoided(self, entries):
         """Return the targets in `entries` that are not avoided."""
         if not self._declines and not self._peer_backoffs:
             return entries
--- a/siskinthread/gateway/_control_home.py
+++ b/siskinthread/gateway/_control_home.py
@@ -24,7 +24,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         State of other entries.
     evacuated_domains : callable
         Returns the failure domains whose targets must get no requests, a frozenset.
@@ -68,7 +68,7 @@
             return False
         if self.peers is None:
             return True
-        return self.peers.is_among_first(self._settings.controllers_per_domain)
+        return self.peers.is_preferred_host(self._settings.controllers_per_domain)
 
     def is_draining(self):
         """Return whether this entry should now hand its shares over."""
@@ -101,18 +101,18 @@
             return False
         domains = {self._failure_domain}
         if self.peers is not None:
-            domains |= self.peers.heard_domains()
+            domains |= self.peers.reachable_domains()
         counts = collections.Counter(one for one in rank_domains if one in domains)
         if not counts:
             return self._failure_domain == min(domains)
         home = max(counts, key=lambda one: (counts[one], _tie_break(group, one)))
         return home == self._failure_domain
 
-    def is_store_away(self):
+    def is_store_unreachable(self):
         """Return whether the sources answer no known peer."""
         return self.peers is None or not self.peers.informed_peers()
 
-    def is_to_relieve(self, group):
+    def should_release(self, group):
         """Return whether a group is stalled, and this entry should release it.
 
         Only one entry of each failure domain does so, to avoid that all of them query
--- a/siskinthread/gateway/_domain_reachability.py
+++ b/siskinthread/gateway/_domain_reachability.py
@@ -95,7 +95,7 @@
         domain = self._domains.get(failure_domain)
         return domain is not None and domain.cut_off_at_s is not None
 
-    def within_reach(self, entries):
+    def reachable(self, entries):
         """Return the targets in `entries` whose failure domains are reachable."""
         if not self._domains:
             return entries
--- a/siskinthread/gateway/_forwarding.py
+++ b/siskinthread/gateway/_forwarding.py
@@ -206,7 +206,7 @@
         """Return the refusal of a request under which targets end, or None."""
         # Each retry of a caller may reach another host under another id.  Without a
         # register shared by all hosts, one request ended nine targets and their groups.
-        blocked_until = self._parts.poison.kept_off_until(self._request.fingerprint)
+        blocked_until = self._parts.poison.blocked_until(self._request.fingerprint)
         if blocked_until is None:
             return self._part_refusal()
         return End(
@@ -229,7 +229,7 @@
         self._trial = admission.trial
         if admission.trial is not None:
             self._parts.measures.part_suspected("tried")
-        if admission.kept_off_until is None:
+        if admission.blocked_until is None:
             return None
         self._parts.measures.part_suspected("refused")
         return End(
@@ -237,7 +237,7 @@
             Reason.ENDS_TARGETS,
             "Targets have ended under requests with a part of its prompt "
             f"({admission.part}); it is not sent to any other.",
-            retry_after_s=admission.kept_off_until.left_s(),
+            retry_after_s=admission.blocked_until.left_s(),
         )
 
     def _end_trial(self):
@@ -312,9 +312,9 @@
         )
         if not is_serving:
             return
-        await self._parts.poison.target_ended(self._request.fingerprint, target)
+        await self._parts.poison.target_crashed(self._request.fingerprint, target)
         if written_s <= self._parts.settings.poison.settled_s:
-            await self._parts.part_guard.target_ended(
+            await self._parts.part_guard.target_crashed(
                 self._request.part_names, target, self._trial
             )
 
@@ -424,7 +424,7 @@
             reason = Reason.TARGET_REFUSED
             if attempt.result is AttemptResult.UNREACHABLE:
                 reason = Reason.TARGET_UNREACHABLE
-            wait_s = self._parts.choice.come_back_after_s(self._request)
+            wait_s = self._parts.choice.retry_delay_s(self._request)
             message = f"The target did not run it: {attempt.reason}."
             return End(Outcome.REFUSED_NOT_RUN, reason, message, retry_after_s=wait_s)
         if self._request.deadline.passed():
--- a/siskinthread/gateway/_gateway.py
+++ b/siskinthread/gateway/_gateway.py
@@ -147,7 +147,7 @@
             "gateway_targets_off_usual_speed",
             "Targets that are measurably slower or faster than others, or fail more.",
         )
-        off_usual.set_function(self.parts.load_control.speeds.off_usual_count)
+        off_usual.set_function(self.parts.load_control.speeds.deviating_count)
         evacuated = metrics.gauge(
             "gateway_evacuated_domains", "Failure domains that are evacuated."
         )
@@ -156,7 +156,7 @@
             "gateway_spared_reads",
             "1 while readers of the failure domain spare this entry its own reads.",
         )
-        spared.set_function(lambda: float(self._table_follower.is_spared()))
+        spared.set_function(lambda: float(self._table_follower.may_skip_reads()))
         self.control_home = ControlHome(
             settings,
             failure_domain,
@@ -175,37 +175,37 @@
             settings.slow_readers_limit_bytes,
         )
 
-    def hear_peers(self, peers, fetch_snapshot, fetch_table=None, fetch_targets=None):
+    def attach_peers(self, peers, fetch_snapshot, fetch_table=None, fetch_targets=None):
         """Exchange state with peers, and fall back on their data in an outage.
 
         Parameters
         ----------
-        peers : siskinthread.peer_news.PeerNews
+        peers : siskinthread.peer_news.PeerGossip
             Exchanges updates with the peers.
         fetch_snapshot : callable
             See `SnapshotFollower`.
         fetch_table, fetch_targets : callable or None
-            ``fetch_told`` of `TableFollower` and `TargetFollower`.
+            ``fetch_served`` of `TableFollower` and `TargetFollower`.
         """
         peers.describe = self._host_state
-        peers.take_listing = self._target_follower.hear
-        peers.take_far_listing = self._target_follower.hear_far
+        peers.on_listing = self._target_follower.hear
+        peers.on_far_listing = self._target_follower.hear_far
         if self._settings.shares_target_reads:
             self._target_follower.far_peers = peers
-            self._target_follower.fetch_told = fetch_targets
-        peers.take_reading = self._receive_reading
-        self._table_follower.fetch_told = fetch_table
+            self._target_follower.fetch_served = fetch_targets
+        peers.on_reading = self._receive_reading
+        self._table_follower.fetch_served = fetch_table
         peers.poison = self.parts.poison
         self.parts.part_guard.peers = peers
         peers.limits = self.parts.limits
-        peers.take_backoffs = self.parts.avoided.hear
-        peers.take_leaving = self.parts.targets.hear_leaving
-        peers.take_outages = self.parts.outages.hear
-        peers.take_evacuations = self.parts.evacuations.hear
-        peers.take_cold = self.parts.cold.hear
+        peers.on_backoffs = self.parts.avoided.hear
+        peers.on_leaving = self.parts.targets.note_peer_departures
+        peers.on_outages = self.parts.outages.hear
+        peers.on_evacuations = self.parts.evacuations.hear
+        peers.on_cold = self.parts.cold.hear
         self.parts.limits.peers = peers
         self.parts.cold.peers = peers
-        peers.tells_roster = self.parts.cold.has_bound
+        peers.sends_roster = self.parts.cold.has_bound
         self._target_follower.peers = peers
         self._table_follower.peers = peers
         self.parts.loads.peers = peers
@@ -229,7 +229,7 @@
         self._snapshot_follower.evacuations = self.parts.evacuations
         self._context.confirm_by(self._snapshot_follower.dependency)
 
-    def keep_suspects(self, source):
+    def persist_suspects(self, source):
         """Persist the register of requests under which targets end.
 
         Parameters
--- a/siskinthread/gateway/_group_outages.py
+++ b/siskinthread/gateway/_group_outages.py
@@ -374,7 +374,7 @@
             if self._states[group].is_suspected:
                 self._states[group].seen_at_s = now_s
             return
-        if any(self._health.is_passed_over(one) for one in ids):
+        if any(self._health.is_ejected(one) for one in ids):
             self._break(group, "a stall with a failed rank", None)
             state = self._states[group]
             state.is_suspected = True
--- a/siskinthread/gateway/_group_progress.py
+++ b/siskinthread/gateway/_group_progress.py
@@ -25,7 +25,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         States which groups are stalled as observed by peers.
 
     Notes
--- a/siskinthread/gateway/_host_share.py
+++ b/siskinthread/gateway/_host_share.py
@@ -59,4 +59,8 @@
 
     def _host_count(self):
         peers = self._loads.peers
-        return 1 if peers is None else peers.fleet_count() or 1 + peers.sharing_count()
+        return (
+            1
+            if peers is None
+            else peers.fleet_count() or 1 + peers.full_rate_peer_count()
+        )
--- a/siskinthread/gateway/_inferred_outages.py
+++ b/siskinthread/gateway/_inferred_outages.py
@@ -4,7 +4,7 @@
 groups.
 """
 
-from siskinthread.load_control import OutageLengths
+from siskinthread.load_control import OutageDurations
 from siskinthread.observability import part_logger
 
 _logger = part_logger("gateway")
@@ -55,7 +55,7 @@
         self._clock = clock
         self._outages = {}
         self._listeners = []
-        self.lengths = OutageLengths(settings, clock)
+        self.lengths = OutageDurations(settings, clock)
 
     def listen(self, callback):
         """Register a callback for the name of each service that is usable again."""
--- a/siskinthread/gateway/_parts.py
+++ b/siskinthread/gateway/_parts.py
@@ -23,7 +23,7 @@
 from siskinthread.http_server import BodyBudget
 from siskinthread.load_control import LoadControl
 from siskinthread.poison_requests import PartGuard, PoisonRegister
-from siskinthread.retry_budget import FleetPart, ServiceRetryBudgets
+from siskinthread.retry_budget import FleetShare, ServiceRetryBudgets
 from siskinthread.target_limits import ColdTargets, TargetBackoffs, TargetLimits
 
 
@@ -201,7 +201,7 @@
         self.clock = clock
         self.random = random
         self.measures = Measures(metrics)
-        self.retry_part = FleetPart(settings)
+        self.retry_part = FleetShare(settings)
         self.budgets = ServiceRetryBudgets(self.retry_part, clock)
         self.answers = BodyBudget(settings.answers_limit_bytes or math.inf)
         self.sends = SlowSends(clock)
@@ -255,9 +255,9 @@
         if facts.stated_backoff.wait_s > 0:
             self.measures.backoff_requested(entry.service_name)
         if facts.is_leaving:
-            self.targets.note_says_leaving(entry.instance_id)
+            self.targets.note_leaving_answer(entry.instance_id)
 
-    def note_other_answer(self, entry, sent_at_s, facts):
+    def note_internal_answer(self, entry, sent_at_s, facts):
         """Record what a target states in an answer to an internal call.
 
         Such answers may lack headers that answers to requests have, so a missing header
--- a/siskinthread/gateway/_release_pace.py
+++ b/siskinthread/gateway/_release_pace.py
@@ -46,7 +46,7 @@
         peers = self._loads.peers
         if peers is None:
             return True
-        oldest_s = self._clock.monotonic_s() - peers.told_interval_s()
+        oldest_s = self._clock.monotonic_s() - peers.send_interval_s()
         while self._released_s and self._released_s[0] < oldest_s:
             self._released_s.popleft()
         if not self._released_s:
@@ -58,5 +58,5 @@
             )
             for entry in entries
         )
-        unseen_count = len(self._released_s) * peers.sharing_count()
+        unseen_count = len(self._released_s) * peers.full_rate_peer_count()
         return free_count - unseen_count >= 1
--- a/siskinthread/gateway/_request.py
+++ b/siskinthread/gateway/_request.py
@@ -248,7 +248,7 @@
         "load",
         "not_run",
         "request_id",
-        "rest_limit_s",
+        "keep_alive_s",
         "stated_limit",
         "stated_backoff",
     )
@@ -260,7 +260,7 @@
         is_other_instance,
         is_group_fault,
         load,
-        rest_limit_s,
+        keep_alive_s,
         closes,
         stated_limit,
         stated_backoff,
@@ -272,7 +272,7 @@
         self.is_other_instance = is_other_instance
         self.is_group_fault = is_group_fault
         self.load = load
-        self.rest_limit_s = rest_limit_s
+        self.keep_alive_s = keep_alive_s
         self.closes = closes
         self.stated_limit = stated_limit
         self.stated_backoff = stated_backoff
--- a/siskinthread/gateway/_return_times.py
+++ b/siskinthread/gateway/_return_times.py
@@ -1,6 +1,6 @@
 """Retry-after times of refused callers, and the requests that come back then."""
 
-from siskinthread.load_control import BindingCause, ReturnBook, ReturningCallers
+from siskinthread.load_control import BindingCause, RetryDetector, RetrySchedule
 from siskinthread.observability import part_logger
 
 _logger = part_logger("gateway")
@@ -49,7 +49,7 @@
         self._room = parts.waiting_room
         self._load_control = parts.load_control
         self._share = share
-        self._returning = ReturningCallers(self._settings, parts.clock)
+        self._returning = RetryDetector(self._settings, parts.clock)
         self._books = {}
         self._broken_count = 0
         self._returns = metrics.counter(
@@ -201,7 +201,7 @@
     def _book(self, service_name):
         book = self._books.get(service_name)
         if book is None and len(self._books) < self._settings.services_limit:
-            book = ReturnBook(self._settings, self._clock)
+            book = RetrySchedule(self._settings, self._clock)
             self._books[service_name] = book
         return book
 
--- a/siskinthread/gateway/_served_reads.py
+++ b/siskinthread/gateway/_served_reads.py
@@ -1,7 +1,7 @@
 """Data that the readers of a failure domain serve to its other hosts."""
 
 
-class ToldTable:
+class ServedTable:
     """Configuration as a reader serves it.
 
     Parameters
@@ -31,7 +31,7 @@
         return not is_behind and version >= reading.version
 
 
-class ToldTargets:
+class ServedTargets:
     """Target list as a reader serves it.
 
     Parameters
--- a/siskinthread/gateway/_service_outages.py
+++ b/siskinthread/gateway/_service_outages.py
@@ -56,7 +56,7 @@
         # The last test, by service.
         self._tests = {}
         self.reported = None
-        parts.choice.may_try_untrusted = self._may_try_untrusted
+        parts.choice.may_try_unhealthy = self._may_try_unhealthy
 
     def outage(self, service_name):
         """Return the outage of a service, an object with ``began_at_s``, or None."""
@@ -116,7 +116,7 @@
         """Allow an immediate test of each service."""
         self._tests.clear()
 
-    def _may_try_untrusted(self, service_name):
+    def _may_try_unhealthy(self, service_name):
         """Return whether a request may go to a target although all are ejected."""
         has_groups = self._has_groups(service_name)
         if self.reported is None or not has_groups:
--- a/siskinthread/gateway/_slow_targets.py
+++ b/siskinthread/gateway/_slow_targets.py
@@ -15,7 +15,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Slow targets that other entries have learnt of.
     """
 
--- a/siskinthread/gateway/_snapshots.py
+++ b/siskinthread/gateway/_snapshots.py
@@ -46,7 +46,7 @@
     fetch : callable
         ``async fetch(address)`` returns the `Snapshot` of a peer; raises
         `PlatformUnavailableError`.
-    peers : siskinthread.peer_news.PeerNews
+    peers : siskinthread.peer_news.PeerGossip
         States which peers are informed, that is, answered by the sources.
     view : TableView
         Where tables come into force.
@@ -166,7 +166,7 @@
         have missed a change only if this host has not reached the version that was the
         newest at the previous check.
         """
-        if not self._table_follower.is_spared():
+        if not self._table_follower.may_skip_reads():
             return False
         table = self._view.table
         known = 0 if table is None else table.version
--- a/siskinthread/gateway/_suspect_readers.py
+++ b/siskinthread/gateway/_suspect_readers.py
@@ -20,7 +20,7 @@
         Number of readers of a failure domain.
     eras : siskinthread.source_eras.EraWatch
         Eras of the store.
-    peers : siskinthread.peer_news.PeerNews
+    peers : siskinthread.peer_news.PeerGossip
         Determines whether this host is a reader.
     companion : Dependency
         Another use of the same store, which reveals an outage; hosts that rely on
@@ -88,7 +88,7 @@
         if self._lease.hear(reading, sender, self._position) is ReadingOutcome.AHEAD:
             await self._announced.set()
 
-    async def rest(self):
+    async def wait_for_readers(self):
         """Wait if this host may skip a read; return whether it may."""
         wait_s = self._lease.left_s()
         if self._awaits_companion():
@@ -100,7 +100,7 @@
         await curio.ignore_after(wait_s, self._announced.wait)
         return True
 
-    def is_to_ask_at_once(self):
+    def must_read_at_once(self):
         """Return whether this host has become a reader without an own answer yet."""
         return self._answered_at_s is None and self._is_reader()
 
--- a/siskinthread/gateway/_table_following.py
+++ b/siskinthread/gateway/_table_following.py
@@ -49,7 +49,7 @@
         Whether the source answers.
     evacuations : Evacuations or None
         Receives the evacuated failure domains.
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Determines whether this host is the first of its failure domain, which retries
         soonest, and whether it is a reader.
     companion : Dependency or None
@@ -78,7 +78,7 @@
         "companion",
         "dependency",
         "evacuations",
-        "fetch_told",
+        "fetch_served",
         "peers",
     )
 
@@ -103,7 +103,7 @@
         self.evacuations = None
         self.companion = None
         self.peers = None
-        self.fetch_told = None
+        self.fetch_served = None
         self.dependency = Dependency("published configuration", clock)
 
     async def run(self):
@@ -202,7 +202,7 @@
         if state is not None and self.evacuations is not None:
             self.evacuations.hear(state.evacuations, str(sender), is_reader=True)
 
-    def is_spared(self):
+    def may_skip_reads(self):
         """Return whether this host currently relies on readers, without own reads."""
         return (
             self._lease is not None
@@ -254,7 +254,7 @@
             return
         self._lease.note_own_read()
         if self.statement() is not None:
-            await self.peers.tell_domain()
+            await self.peers.send_to_domain()
 
     async def _follow_readers(self):
         """Wait for readers or fetch changes from one; return whether no read is due."""
@@ -264,7 +264,7 @@
             wait_s = self._settings.source_retry_limit_s
             await curio.ignore_after(wait_s, self._announced.wait)
             return True
-        if not self.is_spared():
+        if not self.may_skip_reads():
             return False
         # If this host becomes a reader, it must announce only its own reads.
         self._has_answer = False
@@ -287,10 +287,10 @@
             [one for one in ahead if one[1].position.offset == furthest]
         )
         self._lease.forget_ahead()
-        if self.fetch_told is None:
+        if self.fetch_served is None:
             return False
         try:
-            served = await self.fetch_told(sender)
+            served = await self.fetch_served(sender)
         except PlatformUnavailableError as error:
             _logger.event(
                 "configuration is read from the source, as no reader serves it",
--- a/siskinthread/gateway/_target_choice.py
+++ b/siskinthread/gateway/_target_choice.py
@@ -59,7 +59,7 @@
         "_slow_targets",
         "_targets",
         "group_of",
-        "may_try_untrusted",
+        "may_try_unhealthy",
     )
 
     def __init__(self, parts, failure_domain):
@@ -82,9 +82,9 @@
         self._measures = parts.measures
         self._random = parts.random
         self._reachability = parts.reachability
-        self._refusals = ChoiceRefusals(parts, self.come_back_after_s)
+        self._refusals = ChoiceRefusals(parts, self.retry_delay_s)
         self.group_of = _no_group
-        self.may_try_untrusted = _always
+        self.may_try_unhealthy = _always
 
     @property
     def return_times(self):
@@ -140,7 +140,7 @@
             message = f"All {len(serving)} targets fail or decline requests."
             cause = BindingCause.OUTAGE if is_outage else BindingCause.NO_TARGET
             return self._refusals.for_cause(cause, request, message)
-        preferred = self._avoided.without(candidates)
+        preferred = self._avoided.exclude_avoided(candidates)
         if not preferred:
             return self._choose_by_load(request, candidates, serving)
         chosen = self._choose_by_load(request, preferred, serving)
@@ -188,13 +188,13 @@
         -------
         TargetEntry or TargetRefusal
         """
-        with self._loads.held():
+        with self._loads.cached_totals():
             return self._choose_at_held_loads(request, candidates, serving)
 
     def _choose_at_held_loads(self, request, candidates, serving):
         """Implement `_choose_by_load` while the loads are held constant."""
         control = self._load_control
-        admission = control.weigh(request, candidates, self.group_of)
+        admission = control.evaluate(request, candidates, self.group_of)
         entries = self._preferred(admission, serving)
         # Without groups, always reusing connections would leave equally loaded targets
         # without any request.
@@ -214,7 +214,7 @@
         message = control.explain(cause, admission, chosen, load)
         return self._refusals.for_cause(cause, request, message)
 
-    def come_back_after_s(self, request, cause=BindingCause.FULL):
+    def retry_delay_s(self, request, cause=BindingCause.FULL):
         """Return how long a refused caller should wait before it retries, seconds.
 
         Parameters
@@ -233,7 +233,7 @@
 
     def _may_try_any(self, request, tried_ids, is_outage):
         """Return whether a request may be sent to an unhealthy target."""
-        if is_outage and not self.may_try_untrusted(request.service_name):
+        if is_outage and not self.may_try_unhealthy(request.service_name):
             return False
         return not tried_ids
 
@@ -243,9 +243,9 @@
         failing = {group for group in groups if self._is_group_failing(group)}
         return [
             entry
-            for entry in self._reachability.within_reach(entries)
+            for entry in self._reachability.reachable(entries)
             if self.group_of(entry.instance_id) not in failing
-            and not self._health.is_passed_over(entry.instance_id)
+            and not self._health.is_ejected(entry.instance_id)
         ]
 
     def _is_group_failing(self, group):
@@ -280,7 +280,7 @@
         entries, speeds = admission.admitting, self._load_control.speeds
         request = admission.request
         if self.group_of(entries[0].instance_id) is None:
-            return speeds.prefer(request, serving, entries, admission.most_load)
+            return speeds.prefer(request, serving, entries, admission.max_load)
         slow = speeds.slow_groups(
             request.service_name, lambda: self._group_means(serving)
         )
--- a/siskinthread/gateway/_target_connection.py
+++ b/siskinthread/gateway/_target_connection.py
@@ -55,7 +55,7 @@
         "_http",
         "_note_written",
         "_request",
-        "_rest_deadline",
+        "_idle_deadline",
         "_idle_since_s",
         "_sender",
         "_sending_since_s",
@@ -75,7 +75,7 @@
         self._http = None
         self._request = None
         self._body = b""
-        self._rest_deadline = None
+        self._idle_deadline = None
         self._idle_since_s = None
         self._sender = None
         self._note_written = None
@@ -269,14 +269,14 @@
             return False
         self._set_user_timeout(self._settings.silence_limit_s)
         limit_s = idle_time_limit_s(self._settings, stated_s)
-        self._rest_deadline = Deadline.after(self._clock, limit_s)
+        self._idle_deadline = Deadline.after(self._clock, limit_s)
         self._idle_since_s = self._clock.monotonic_s()
         self.was_used = True
         return True
 
     def is_reusable(self):
         """Return whether an idle connection may carry another request."""
-        return not self._rest_deadline.passed() and not self._is_readable()
+        return not self._idle_deadline.passed() and not self._is_readable()
 
     def end_idle(self):
         """Record the idle time at the start of the next exchange."""
--- a/siskinthread/gateway/_target_following.py
+++ b/siskinthread/gateway/_target_following.py
@@ -55,10 +55,10 @@
     ----------
     dependency : Dependency
         Whether the source answers.
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Determines whether this host is the reader of its failure domain, and sends its
         announcements there.
-    far_peers : siskinthread.peer_news.PeerNews or None
+    far_peers : siskinthread.peer_news.PeerGossip or None
         The same for readers of other failure domains; None if each failure domain
         reads for itself.
     fetch_served : callable or None
@@ -87,7 +87,7 @@
         "_when_regained",
         "dependency",
         "far_peers",
-        "fetch_told",
+        "fetch_served",
         "peers",
     )
 
@@ -122,7 +122,7 @@
         self._wanted_sender = None
         self.peers = None
         self.far_peers = None
-        self.fetch_told = None
+        self.fetch_served = None
 
     async def run(self):
         """Follow the source until cancelled."""
@@ -264,7 +264,7 @@
         """Fetch an announced list from its reader; return whether it was applied."""
         wanted, self._wanted_statement = self._wanted_statement, None
         far_address, self._wanted_sender = self._wanted_sender, None
-        if wanted is None or self.fetch_told is None or self.peers is None:
+        if wanted is None or self.fetch_served is None or self.peers is None:
             return False
         if len(self._targets.entries()) > self._settings.told_targets_limit:
             return False
@@ -288,7 +288,7 @@
     async def _ask_reader(self, address, wanted):
         """Return the `ServedTargets` of a reader, None if unavailable or too old."""
         try:
-            served = await self.fetch_told(address)
+            served = await self.fetch_served(address)
         except PlatformUnavailableError as error:
             _logger.event(
                 "target list is read from the source, as no reader serves it",
@@ -312,7 +312,7 @@
         """Announce another host's read in the own failure domain, if its reader."""
         if self._reads_for_others():
             self._confirmed_at_s = confirmed_at_s
-            await self.peers.tell_domain()
+            await self.peers.send_to_domain()
 
     def _is_as_new(self, served, wanted):
         """Return whether a `ServedTargets` is behind neither this host nor `wanted`."""
@@ -366,9 +366,9 @@
         left_s = max(0.0, self._age_limit_s() - spent_s)
         self._next_read = self._due_by_own_read = Deadline.after(self._clock, left_s)
         if self._reads_for_others():
-            await self.peers.tell_domain()
+            await self.peers.send_to_domain()
             if self.far_peers is not None:
-                await self.far_peers.tell_far_readers(self.statement())
+                await self.far_peers.send_listing(self.statement())
 
     def _age_limit_s(self):
         settings = self._settings
@@ -400,7 +400,7 @@
         for change in changes:
             if change.entry is None:
                 self._digest.remove(change.listed_id)
-                self._targets.vanish(change.listed_id)
+                self._targets.note_unlisted(change.listed_id)
             else:
                 self._digest.put(change.entry)
                 self._targets.put(change.entry)
--- a/siskinthread/gateway/_target_health.py
+++ b/siskinthread/gateway/_target_health.py
@@ -70,7 +70,7 @@
             wait_s=wait_s,
         )
 
-    def is_passed_over(self, instance_id):
+    def is_ejected(self, instance_id):
         """Return whether a target is ejected at present."""
         failures = self._failures.get(instance_id)
         return failures is not None and not failures.ejected_until.passed()
--- a/siskinthread/gateway/_target_list.py
+++ b/siskinthread/gateway/_target_list.py
@@ -220,7 +220,7 @@
             _logger.event("target leaves", target=entry.instance_id, told_by=told_by)
             self._notify(entry)
 
-    def vanish(self, listed_id, told_by=SOURCE):
+    def note_unlisted(self, listed_id, told_by=SOURCE):
         """Remove an entry that is no longer listed, or keep it around an outage."""
         instance_id = self._listed.get(listed_id)
         entry = self._entries.get(instance_id)
@@ -280,7 +280,7 @@
             if is_authoritative:
                 self._remove(entry, told_by, by_peer=True)
             else:
-                self.vanish(entry.listed_id, told_by)
+                self.note_unlisted(entry.listed_id, told_by)
         self._has_first = True
 
     def without_gone(self, entries, kept_ids):
@@ -327,7 +327,7 @@
         listed = {entry.instance_id: entry for entry in entries}
         for entry in list(self._entries.values()):
             if entry.instance_id not in listed:
-                self.vanish(entry.listed_id)
+                self.note_unlisted(entry.listed_id)
         for instance_id, entry in listed.items():
             # Targets that this host itself has removed must report again first.
             if instance_id not in self._entries and self._gone.get(instance_id, True):
@@ -374,12 +374,12 @@
             entry.is_leaving = True
             self._notify(entry)
 
-    def note_says_leaving(self, instance_id):
+    def note_leaving_answer(self, instance_id):
         """Note that a target has announced in an answer that it leaves."""
         self._departures.note_announced(instance_id)
         self.note_leaving(instance_id, "its answer")
 
-    def hear_leaving(self, statements, told_by):
+    def note_peer_departures(self, statements, told_by):
         """Note each `LeavingStatement` of a peer."""
         for instance_id in self._departures.take_new(statements):
             self.note_leaving(instance_id, told_by)
--- a/siskinthread/gateway/_target_loads.py
+++ b/siskinthread/gateway/_target_loads.py
@@ -32,7 +32,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Requests of other entries.  Without recent messages of peers, the load reports
         of the targets are used.
 
@@ -93,7 +93,7 @@
         return dict(self._own)
 
     @contextlib.contextmanager
-    def held(self):
+    def cached_totals(self):
         """Cache the totals in a block that does not await.
 
         The choice of a target needs the totals of some hundred targets several times.
@@ -135,8 +135,8 @@
         """
         if self.peers is None or not self.peers.has_fresh_loads():
             return 0.0
-        mean_age_s = self.peers.told_interval_s() / 2
-        return self._own_per_s() * self.peers.sharing_count() * mean_age_s
+        mean_age_s = self.peers.send_interval_s() / 2
+        return self._own_per_s() * self.peers.full_rate_peer_count() * mean_age_s
 
     def fleet_per_s(self):
         """Return the rate of requests of all entries, per second.
@@ -145,7 +145,7 @@
         """
         host_count = 1
         if self._peers_report_loads():
-            host_count += self.peers.sharing_count()
+            host_count += self.peers.full_rate_peer_count()
         return self._own_per_s() * host_count
 
     def are_peers_crowded(self):
--- a/siskinthread/gateway/_waiting_room.py
+++ b/siskinthread/gateway/_waiting_room.py
@@ -15,12 +15,12 @@
 from siskinthread.load_control import (
     BindingCause,
     NoWait,
-    PriorityMix,
-    RequestTimes,
+    RecentPriorities,
+    RouteDurations,
     Waiter,
     WaitFacts,
+    WaitPolicy,
     WaitQueue,
-    WaitRules,
 )
 from siskinthread.observability import part_logger
 from siskinthread.outcomes import End, Reason
@@ -83,8 +83,8 @@
         self._targets = parts.targets
         self._outages = ServiceOutages(parts)
         self._pace = ReleasePace(parts.settings, parts.loads, parts.clock)
-        self._priorities = PriorityMix(self._settings, parts.clock)
-        self._rules = WaitRules(self._settings, parts.clock)
+        self._priorities = RecentPriorities(self._settings, parts.clock)
+        self._rules = WaitPolicy(self._settings, parts.clock)
         late_gives_way = parts.settings.load_control.late_gives_way
         self._queue = WaitQueue(self._settings, late_gives_way)
         self._pending = {}
@@ -95,7 +95,7 @@
         self._next_try = {}
         self._not_empty = curio.Event()
         self._measures = WaitingMeasures(metrics)
-        self.request_times = RequestTimes(self._settings)
+        self.request_times = RouteDurations(self._settings)
         self.returns = None
 
     @property
@@ -372,7 +372,7 @@
         objective.
         """
         if facts.is_return:
-            return cause.may_pass
+            return cause.is_transient
         is_outage = cause is BindingCause.OUTAGE
         if is_outage or self._is_after_outage(cause, request.service_name):
             return True
@@ -455,7 +455,7 @@
             cause,
             reason,
             message,
-            lambda: self._choice.come_back_after_s(request, cause),
+            lambda: self._choice.retry_delay_s(request, cause),
         )
 
 
--- a/siskinthread/gateway/tests/connection_replay.py
+++ b/siskinthread/gateway/tests/connection_replay.py
@@ -13,7 +13,7 @@
 from siskinthread.gateway import GatewaySettings, RequestKind
 from siskinthread.gateway._connection_settings import ConnectionSettings
 from siskinthread.gateway._parts import GatewayParts
-from siskinthread.load_control.tests.replay import Kind, Replay, ToldPeers
+from siskinthread.load_control.tests.replay import Kind, Replay, SimulatedPeers
 from siskinthread.observability import Metrics
 
 DOMAINS = ("a", "b", "c")
@@ -35,7 +35,7 @@
         return self._clock.monotonic_s() < self.until_s
 
 
-class PeersByDomain(ToldPeers):
+class PeersByDomain(SimulatedPeers):
     """Loads of peers; with many peers, those of other failure domains are delayed."""
 
     def __init__(self, replay, own):
@@ -47,14 +47,14 @@
         """Return whether only peers of the own failure domain report often."""
         return len(self._hosts) - 1 > PEERS_AT_FULL_RATE
 
-    def sharing_count(self):
+    def full_rate_peer_count(self):
         """Return the number of peers that report often."""
         return self._local_count if self.is_crowded() else len(self._hosts) - 1
 
     def counts(self, instance_id):
         """Return the requests of peers at a target as last reported."""
         replay, domain = self._replay, self._own.domain
-        count = -self._own.told.get(instance_id, 0)
+        count = -self._own.reported.get(instance_id, 0)
         for one in DOMAINS:
             is_delayed = self.is_crowded() and one != domain
             count += (replay.delayed if is_delayed else replay.recent)[one][instance_id]
@@ -130,14 +130,14 @@
         self.ask(kind, per_s, 0.0, to_s)
         self.run(to_s)
 
-    def _tell(self, host):
+    def _report(self, host):
         """Do nothing; `_exchange_loads` sums the loads once for all hosts."""
 
     def _exchange_loads(self, round_number):
         sums = {one: collections.Counter() for one in DOMAINS}
         for host in self.hosts:
-            host.told = host.parts.loads.own_counts()
-            sums[host.domain].update(host.told)
+            host.reported = host.parts.loads.own_counts()
+            sums[host.domain].update(host.reported)
         self.recent = sums
         if round_number % round(FAR_INTERVAL_S / self.interval_s) == 0:
             self.delayed = sums
--- a/siskinthread/gateway/tests/load_replay.py
+++ b/siskinthread/gateway/tests/load_replay.py
@@ -92,7 +92,7 @@
         """Return the requests of other hosts at a target."""
         return self._known.get(instance_id, 0)
 
-    def sharing_count(self):
+    def full_rate_peer_count(self):
         """Return the number of hosts that report their loads."""
         return len(self._others)
 
@@ -100,7 +100,7 @@
         """Return the number of hosts."""
         return 1 + len(self._others)
 
-    def told_interval_s(self):
+    def send_interval_s(self):
         """Return the time between two updates of a host."""
         return UPDATE_INTERVAL_S
 
@@ -298,7 +298,7 @@
             return end
         message = "All attempts were declined."
         end = End(Outcome.REFUSED_NOT_RUN, Reason.OVERLOADED, message)
-        end.retry_after_s = host.choice.come_back_after_s(request)
+        end.retry_after_s = host.choice.retry_delay_s(request)
         return end
 
     def _end(self, host, call, request, target, arrived_at_s, running):
--- a/siskinthread/gateway/tests/test_avoided_targets.py
+++ b/siskinthread/gateway/tests/test_avoided_targets.py
@@ -19,7 +19,7 @@
 def avoided_s(avoided, now):
     """Return for how long the first target is avoided from now on, seconds."""
     waited_s = 0.0
-    while "i-1" not in ids(avoided.without(ENTRIES)):
+    while "i-1" not in ids(avoided.exclude_avoided(ENTRIES)):
         now.advance(STEP_S)
         waited_s += STEP_S
     return waited_s
@@ -48,7 +48,7 @@
     avoided, _ = build()
     avoided.declined("i-1")
     avoided.answered("i-1")
-    assert avoided.without(ENTRIES) == ENTRIES
+    assert avoided.exclude_avoided(ENTRIES) == ENTRIES
 
 
 def test_backoff_requested_of_a_peer_is_observed_with_a_margin():
--- a/siskinthread/gateway/tests/test_connection_preference.py
+++ b/siskinthread/gateway/tests/test_connection_preference.py
@@ -235,7 +235,7 @@
     """A connection was closed after 4 s although its target kept it for a minute."""
 
     async def check(connection, target_end):
-        left_s = connection._rest_deadline.left_s()
+        left_s = connection._idle_deadline.left_s()
         assert max(0.0, kept_s - 1.0) <= left_s <= kept_s
 
     with_kept_connection(check, stated_s)
--- a/siskinthread/gateway/tests/test_control_failover.py
+++ b/siskinthread/gateway/tests/test_control_failover.py
@@ -25,7 +25,7 @@
     RANKS,
 )
 from siskinthread.observability import Metrics
-from siskinthread.peer_news import HostState, PeerNews, PeerNewsSettings
+from siskinthread.peer_news import HostState, PeerGossip, PeerGossipSettings
 from siskinthread.peer_news.tests.test_peers import free_addresses
 from siskinthread.timing import Deadline, SYSTEM_CLOCK
 
@@ -95,8 +95,8 @@
             parts.slow_targets,
             parts.outages,
         )
-        self.peers = PeerNews(
-            PeerNewsSettings(), address, "a", [first], SYSTEM_CLOCK, chance
+        self.peers = PeerGossip(
+            PeerGossipSettings(), address, "a", [first], SYSTEM_CLOCK, chance
         )
         self.peers.describe = self._describe
         self.home.peers = self.peers
--- a/siskinthread/gateway/tests/test_control_home.py
+++ b/siskinthread/gateway/tests/test_control_home.py
@@ -10,7 +10,7 @@
     def __init__(self, *domains):
         self._domains = set(domains)
 
-    def heard_domains(self):
+    def reachable_domains(self):
         """Return the failure domains."""
         return self._domains
 
--- a/siskinthread/gateway/tests/test_domain_reachability.py
+++ b/siskinthread/gateway/tests/test_domain_reachability.py
@@ -28,7 +28,7 @@
     targets = [far(number) for number in range(24)]
     timed_out_count = 0
     for target in targets:
-        if reachability.within_reach([target]):
+        if reachability.reachable([target]):
             timed_out_count += 1
             reachability.note_unreachable(target, len(targets))
     assert timed_out_count == SETTINGS.reachability_count
@@ -71,7 +71,7 @@
     near = entry("i-a1")
     for number in range(3):
         reachability.note_unreachable(far(number), 3)
-    assert ids(reachability.within_reach([near, far(7)])) == ["i-a1"]
+    assert ids(reachability.reachable([near, far(7)])) == ["i-a1"]
 
 
 def test_failure_domain_is_used_again_after_a_check():
@@ -87,8 +87,7 @@
         assert parts.reachability.is_cut_off("b")
         await _run_until(parts, lambda: not parts.reachability.is_cut_off("b"))
         assert not any(
-            parts.health.is_passed_over(one.instance_id)
-            for one in parts.targets.entries()
+            parts.health.is_ejected(one.instance_id) for one in parts.targets.entries()
         )
         await listener.close()
 
--- a/siskinthread/gateway/tests/test_evacuations.py
+++ b/siskinthread/gateway/tests/test_evacuations.py
@@ -9,7 +9,7 @@
 from siskinthread.gateway.tests.test_target_choice import Parts
 from siskinthread.outcomes import Reason
 from siskinthread.peer_news import EvacuationStatement, HostState
-from siskinthread.peer_news._news import News
+from siskinthread.peer_news._message import PeerMessage
 from siskinthread.peer_news._summary import NearSums
 from siskinthread.settings import Address
 from siskinthread.source_eras import Position
@@ -164,8 +164,8 @@
     host.read(5, "b", era=2)
     host.read(6, "b", era=2, taken_back=["c"])
     state = HostState(1, True, {}, evacuations=host.evacuations.statement())
-    data = News(Address("127.0.0.1", 1), "a", state, []).encode()
-    decoded = News.decode(data).state
+    data = PeerMessage(Address("127.0.0.1", 1), "a", state, []).encode()
+    decoded = PeerMessage.decode(data).state
     received = decoded.evacuations
     assert received.names() == state.evacuations.names()
     assert (received.position.era, received.position.offset) == (2, 6)
@@ -179,10 +179,10 @@
     before = HostState(1, True, {}, evacuations=host.evacuations.statement())
     host.read(2)
     same = HostState(1, True, {}, evacuations=host.evacuations.statement())
-    assert same.looks_like(before)
+    assert same.is_equivalent_to(before)
     host.read(3, "a")
     after = HostState(1, True, {}, evacuations=host.evacuations.statement())
-    assert not after.looks_like(before)
+    assert not after.is_equivalent_to(before)
 
 
 def test_names_that_do_not_fit_a_datagram_are_not_sent_in_part():
--- a/siskinthread/gateway/tests/test_evacuations_in_faults.py
+++ b/siskinthread/gateway/tests/test_evacuations_in_faults.py
@@ -27,10 +27,10 @@
         )
     )
     evacuations.advance(Position(1, 1), [], "store")
-    host.news.describe = lambda: HostState(
+    host.gossip.describe = lambda: HostState(
         1, True, {"i-1": host.random.randrange(9)}, evacuations=evacuations.statement()
     )
-    host.news.take_evacuations = evacuations.hear
+    host.gossip.on_evacuations = evacuations.hear
 
 
 def read(host, offset, *domains):
--- a/siskinthread/gateway/tests/test_far_listing.py
+++ b/siskinthread/gateway/tests/test_far_listing.py
@@ -3,7 +3,7 @@
 import pytest
 
 from siskinthread.errors import PlatformUnavailableError
-from siskinthread.gateway import ToldTargets
+from siskinthread.gateway import ServedTargets
 from siskinthread.gateway.tests.parts import entry, ids, SETTINGS
 from siskinthread.gateway.tests.test_target_following import (
     FakePeers,
@@ -32,7 +32,7 @@
         """Return whether this host is the first of all readers."""
         return self.is_first
 
-    async def tell_far_readers(self, listing):
+    async def send_listing(self, listing):
         """Record an announcement."""
         self.far_announcements.append(listing)
 
@@ -133,9 +133,9 @@
             asked.append(address)
             if not is_served:
                 raise PlatformUnavailableError("busy")
-            return ToldTargets(position, 0.1, [entry("i-2")])
+            return ServedTargets(position, 0.1, [entry("i-2")])
 
-        following.follower.fetch_told = fetch
+        following.follower.fetch_served = fetch
         following.source.take_told = lambda served: None
         following.source.position = position
         before = following.peers.announcement_count
--- a/siskinthread/gateway/tests/test_group_outages.py
+++ b/siskinthread/gateway/tests/test_group_outages.py
@@ -104,7 +104,7 @@
     host.outages.note_declined("a")
     host.parts.health.failed("a-3", "unreachable")
     host.outages.note_opened("a", 5, "test")
-    ejected = [one for one in RANKS if host.parts.health.is_passed_over(one)]
+    ejected = [one for one in RANKS if host.parts.health.is_ejected(one)]
     assert ejected == ["a-1"]
 
 
--- a/siskinthread/gateway/tests/test_kept_targets.py
+++ b/siskinthread/gateway/tests/test_kept_targets.py
@@ -15,7 +15,7 @@
     targets = TargetList(SETTINGS, now)
     targets.replace([entry("i-1")])
     targets.note_outage_end()
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     return targets, now
 
 
@@ -80,7 +80,7 @@
     targets.note_failed_call(now.monotonic_s())
     now.advance(since_call_s)
     targets.note_outage_end()
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     now.advance(kept_s - STEP_S)
     assert targets.is_serving("i-1")
     now.advance(STEP_S)
@@ -95,7 +95,7 @@
     targets.replace([entry("i-1")])
     if own_s is not None:
         targets.note_outage_end()
-        targets.vanish("i-1")
+        targets.note_unlisted("i-1")
         now.advance(GRACE_S - own_s)
     targets.note_failed_call(now.monotonic_s())
     targets.replace([entry("i-1")], True, "a peer", {"i-1": stated_s})
@@ -114,7 +114,7 @@
     targets = TargetList(SETTINGS, now)
     targets.replace([entry("i-1"), entry("i-2")])
     targets.note_leaving("i-1", "its answer")
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     kept_left_s = {"i-1": 1.0, "i-2": 1.0}
     targets.replace([entry("i-1"), entry("i-2")], True, "a peer", kept_left_s)
     assert ids(targets.entries()) == ["i-2"]
--- a/siskinthread/gateway/tests/test_reader_lease.py
+++ b/siskinthread/gateway/tests/test_reader_lease.py
@@ -4,7 +4,7 @@
 import pytest
 
 from siskinthread.errors import PlatformUnavailableError
-from siskinthread.gateway import GatewaySettings, ToldTable
+from siskinthread.gateway import GatewaySettings, ServedTable
 from siskinthread.gateway._dependency import Dependency
 from siskinthread.gateway._evacuations import Evacuations
 from siskinthread.gateway._reader_lease import ReaderLease, ReadingOutcome
@@ -205,7 +205,7 @@
         """Return whether this host retries first."""
         return True
 
-    async def tell_domain(self):
+    async def send_to_domain(self):
         """Count an announcement."""
         self.announcement_count += 1
 
@@ -245,12 +245,12 @@
         self.follower.companion = self.companion
         self.follower.evacuations = self.evacuations
         self.follower.watch_eras(self.eras)
-        self.follower.fetch_told = self._fetch if can_fetch else None
+        self.follower.fetch_served = self._fetch if can_fetch else None
         self.is_announcing = True
 
     def _newest(self):
         position = Position(self.source.era, self.source.version)
-        return ToldTable(position, self.source.table(), object(), frozenset({"b"}))
+        return ServedTable(position, self.source.table(), object(), frozenset({"b"}))
 
     async def _fetch(self, address):
         self.fetched.append(address)
@@ -317,7 +317,7 @@
             host.source.version = version
             await host.until_version(version)
         await curio.sleep(2 * FAST.table_word_s)
-        assert host.follower.is_spared()
+        assert host.follower.may_skip_reads()
         assert host.source.reads == before
         assert host.source.taken[-1] == 5
         assert host.evacuations.is_evacuated("b")
@@ -353,7 +353,7 @@
             host.eras.note_unreadable()
         else:
             await host.announce(era=known)
-        assert not host.follower.is_spared()
+        assert not host.follower.may_skip_reads()
         await until(lambda: host.source.reads > before)
         host.peers.is_reader = True
         host.source.version = 3
@@ -371,7 +371,7 @@
         before = host.source.reads
         host.source.version = 3
         await host.until_version(3)
-        await until(host.follower.is_spared)
+        await until(host.follower.may_skip_reads)
         await curio.sleep(0.1)
         return host.source.reads - before
 
@@ -387,9 +387,9 @@
         newest = host.source.table()
         host.serve = {
             "busy": lambda: None,
-            "older version": lambda: ToldTable(Position(1, 3), older, None, ()),
-            "behind": lambda: ToldTable(Position(1, 2), newest, None, ()),
-            "other era": lambda: ToldTable(Position(2, 3), newest, None, ()),
+            "older version": lambda: ServedTable(Position(1, 3), older, None, ()),
+            "behind": lambda: ServedTable(Position(1, 2), newest, None, ()),
+            "other era": lambda: ServedTable(Position(2, 3), newest, None, ()),
         }[case]
         host.source.version = 3
         await host.until_version(3)
@@ -404,7 +404,7 @@
 
     async def test(host):
         host.is_announcing = False
-        await until(lambda: not host.follower.is_spared())
+        await until(lambda: not host.follower.may_skip_reads())
         host.source.version = 3
         await host.until_version(3)
         assert host.fetched == []
@@ -476,7 +476,7 @@
         before = host.source.reads
         await host.follower.read_again()
         await until(lambda: host.source.reads == before + 1)
-        await until(host.follower.is_spared)
+        await until(host.follower.may_skip_reads)
 
     run(test)
 
@@ -549,7 +549,7 @@
         task = await curio.spawn(host.follower.run)
         await until(lambda: host.view.table is not None)
         await host.announce()
-        assert not host.follower.is_spared()
+        assert not host.follower.may_skip_reads()
         assert host.follower.statement() is None
         await task.cancel()
 
--- a/siskinthread/gateway/tests/test_served_targets.py
+++ b/siskinthread/gateway/tests/test_served_targets.py
@@ -3,7 +3,7 @@
 import pytest
 
 from siskinthread.errors import PlatformUnavailableError
-from siskinthread.gateway import ToldTargets
+from siskinthread.gateway import ServedTargets
 from siskinthread.gateway.tests.parts import entry, ids, SETTINGS
 from siskinthread.gateway.tests.test_target_following import later_position, run, until
 from siskinthread.peer_news import ListStatement
@@ -19,7 +19,7 @@
     def __init__(self, following):
         self.following = following
         self.asked = 0
-        self.served = ToldTargets(
+        self.served = ServedTargets(
             later_position(following.source.position, 1),
             0.1,
             [entry("i-1", is_leaving=True), entry("i-2")],
@@ -48,7 +48,7 @@
             following.source.position = following.follower._position = position
         following.reader = Reader(following)
         following.peers.reader_address = lambda: READER
-        following.follower.fetch_told = following.reader.fetch
+        following.follower.fetch_served = following.reader.fetch
         following.source.take_told = lambda served: None
         return await test(following)
 
--- a/siskinthread/gateway/tests/test_suspect_readers.py
+++ b/siskinthread/gateway/tests/test_suspect_readers.py
@@ -11,7 +11,7 @@
 from siskinthread.observability import Metrics
 from siskinthread.peer_news import SuspectsReading
 from siskinthread.poison_requests import (
-    EndStatement,
+    CrashStatement,
     PoisonFollower,
     PoisonRegister,
     PoisonSettings,
@@ -52,7 +52,7 @@
             raise PlatformUnavailableError("away")
         changes = []
         if self.offset > position.offset:
-            statement = SuspectStatement("f-1", [EndStatement("i-1", 0.0, False)])
+            statement = SuspectStatement("f-1", [CrashStatement("i-1", 0.0, False)])
             changes = [StoredChange("f-1", statement)]
         return changes, Position(1, self.offset)
 
@@ -163,7 +163,7 @@
         await until(lambda: host.readers.statement() is None)
         host.source.is_away = True
         host.peers.is_reader = True
-        await until(lambda: host.follower._is_lost)
+        await until(lambda: host.follower._is_unavailable)
         assert host.readers.statement() is None
         host.source.is_away = False
         await until(lambda: host.readers.statement() is not None)
--- a/siskinthread/gateway/tests/test_target_choice.py
+++ b/siskinthread/gateway/tests/test_target_choice.py
@@ -58,11 +58,11 @@
         """Return the reported requests at a target."""
         return self._counts.get(instance_id, 0)
 
-    def sharing_count(self):
+    def full_rate_peer_count(self):
         """Return the number of peers that report their loads."""
         return self._count
 
-    def told_interval_s(self):
+    def send_interval_s(self):
         """Return the time between two updates of a peer, seconds."""
         return 0.5
 
@@ -183,16 +183,16 @@
     """With a longer delay, callers would not retry at all."""
     parts = Parts(entry("i-1"))
     request = parts.request(left_s)
-    assert parts.choice.come_back_after_s(request) < left_s / 3
+    assert parts.choice.retry_delay_s(request) < left_s / 3
     parts.health.failed("i-1", "can't connect")
-    assert parts.choice.come_back_after_s(request) < left_s / 3
+    assert parts.choice.retry_delay_s(request) < left_s / 3
 
 
 def test_callers_refused_together_retry_apart():
     """Guards against synchronized retries that repeat an overload a second later."""
     parts = Parts(entry("i-1"))
     request = parts.request()
-    times = {round(parts.choice.come_back_after_s(request), 2) for _ in range(50)}
+    times = {round(parts.choice.retry_delay_s(request), 2) for _ in range(50)}
     assert len(times) > 20
 
 
--- a/siskinthread/gateway/tests/test_target_following.py
+++ b/siskinthread/gateway/tests/test_target_following.py
@@ -61,7 +61,7 @@
         """Return whether this host retries first."""
         return self.reader
 
-    async def tell_domain(self):
+    async def send_to_domain(self):
         """Count an announcement."""
         self.announcement_count += 1
 
--- a/siskinthread/gateway/tests/test_target_list.py
+++ b/siskinthread/gateway/tests/test_target_list.py
@@ -21,7 +21,7 @@
 def test_vanished_target_is_gone_at_once():
     """Without an outage, a target that is no longer listed is removed at once."""
     targets, _ = build()
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     assert ids(targets.serving("app")) == ["i-2"]
 
 
@@ -46,7 +46,7 @@
     targets, _ = build()
     targets.put(entry("i-1", is_leaving=True))
     targets.note_outage_end()
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     assert ids(targets.serving("app")) == ["i-2"]
 
 
@@ -64,7 +64,7 @@
 def test_target_that_vanished_may_report_again():
     """A target that was only partitioned for some time serves again."""
     targets, _ = build()
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     targets.put(entry("i-1"))
     assert sorted(ids(targets.serving("app"))) == ["i-1", "i-2"]
 
@@ -75,7 +75,7 @@
     notified = []
     targets.listen(lambda one: notified.append(one.instance_id))
     targets.put(entry("i-1", is_leaving=True))
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     targets.note_leaving("i-2", "its successor")
     targets.note_leaving("i-2", "its successor")
     assert notified == ["i-1", "i-2"]
@@ -88,8 +88,8 @@
     parts.targets.put(entry("i-1"))
     parts.loads.report("i-1", LoadReport(1, 0, 6))
     parts.health.failed("i-1", "can't connect")
-    parts.targets.vanish("i-1")
-    assert not parts.health.is_passed_over("i-1")
+    parts.targets.note_unlisted("i-1")
+    assert not parts.health.is_ejected("i-1")
     assert parts.loads.total("i-1") == 0
 
 
@@ -109,7 +109,7 @@
     assert sorted(ids(targets.serving("app"))) == ["i-1@2", "i-2"]
     targets.put(first)
     assert sorted(ids(targets.serving("app"))) == ["i-1@2", "i-2"]
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     assert ids(targets.serving("app")) == ["i-2"]
 
 
@@ -120,7 +120,7 @@
     targets.put(entry("i-1"))
     targets.replace([entry("i-1"), entry("i-2")], is_authoritative=True)
     assert ids(targets.serving("app")) == ["i-2"]
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     targets.replace_by_older([entry("i-1"), entry("i-2")])
     assert ids(targets.serving("app")) == ["i-2"]
 
@@ -143,14 +143,14 @@
     """A peer that fetches the list must know which targets are only kept."""
     targets, _ = build()
     targets.note_outage_end()
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     assert targets.kept_ids() == {"i-1"}
 
 
 def test_unlisted_target_that_announces_its_departure_is_not_reinstated():
     """The answer of a stream arrives after the target has vanished from the list."""
     targets, _ = build()
-    targets.vanish("i-1")
+    targets.note_unlisted("i-1")
     targets.note_leaving("i-1", "its answer")
     targets.put(entry("i-1"))
     assert ids(targets.serving("app")) == ["i-2"]
@@ -159,9 +159,9 @@
 def test_departure_that_a_peer_announces_is_noted_and_forwarded():
     """Guards against a request of each entry to a leaving target."""
     sender, _ = build()
-    sender.note_says_leaving("i-1")
+    sender.note_leaving_answer("i-1")
     receiver, now = build()
-    receiver.hear_leaving(sender.leaving_statements(), "peer")
+    receiver.note_peer_departures(sender.leaving_statements(), "peer")
     assert ids(receiver.serving("app")) == ["i-2"]
     now.advance(SETTINGS.leaving_told_s / 2)
     [stated] = receiver.leaving_statements()
@@ -172,13 +172,13 @@
     """Guards against entries that repeat a departure to one another without end."""
     first, _ = build()
     second, now = build()
-    first.note_says_leaving("i-1")
+    first.note_leaving_answer("i-1")
     statements = first.leaving_statements()
     now.advance(SETTINGS.leaving_told_s)
     statements[0].age_s = SETTINGS.leaving_told_s
-    second.hear_leaving(statements, "peer")
+    second.note_peer_departures(statements, "peer")
     assert ids(second.serving("app")) == ["i-1", "i-2"]
-    second.note_says_leaving("i-1")
+    second.note_leaving_answer("i-1")
     now.advance(SETTINGS.leaving_told_s)
     assert second.leaving_statements() == []
     assert ids(second.serving("app")) == ["i-2"]
@@ -205,6 +205,6 @@
     parts.loads.report("i-1@1", LoadReport(5, 0, 6))
     parts.health.failed("i-1@1", "reset")
     parts.targets.put(entry("i-1@2", listed_id="i-1"))
-    assert not parts.health.is_passed_over("i-1@2")
+    assert not parts.health.is_ejected("i-1@2")
     assert parts.loads.total("i-1@2") == 0
-    assert not parts.health.is_passed_over("i-1@1")
+    assert not parts.health.is_ejected("i-1@1")
--- a/siskinthread/gateway/tests/test_waiting_room.py
+++ b/siskinthread/gateway/tests/test_waiting_room.py
@@ -181,7 +181,7 @@
             await host.room.close("This host is being stopped.")
         elif event == "targets lost":
             for number in range(2):
-                host.parts.targets.vanish(f"i-{number}")
+                host.parts.targets.note_unlisted(f"i-{number}")
         else:
             runner = await curio.spawn(host.room.run)
             await runner.cancel()
@@ -243,7 +243,7 @@
         loads.started("i-0")
         released_count += 1
     assert released_count == 3
-    clock.advance(loads.peers.told_interval_s() + 0.01)
+    clock.advance(loads.peers.send_interval_s() + 0.01)
     assert pace.allows(entries)
 
 
--- a/siskinthread/group_maps/_duty.py
+++ b/siskinthread/group_maps/_duty.py
@@ -35,8 +35,8 @@
         has fallen silent; ``note_controlled(names)`` is told the groups that it
         controls; ``is_home(name, domains)``, whether a group whose
         ranks are in some failure domains is controlled from the own one;
-        ``is_store_away()``, whether nobody can get shares at present;
-        ``is_to_relieve(name)``, whether a group stands still and this process should
+        ``is_store_unreachable()``, whether nobody can get shares at present;
+        ``should_release(name)``, whether a group stands still and this process should
         see to it; ``is_broken(name)``, whether a group is known to be broken;
         ``pass_view(name)``, the times of its passes; ``note_slow(name,
         ids)`` is told its targets that should get no requests.
@@ -167,7 +167,9 @@
         except PlatformUnavailableError as error:
             # While nobody reaches the store, nobody else gets the shares either, and
             # the demand goes on shifting: maps stood still for the rest of an outage.
-            is_taken_over = self._expiry.passed() and not self._home.is_store_away()
+            is_taken_over = (
+                self._expiry.passed() and not self._home.is_store_unreachable()
+            )
             if self._held is not None and is_taken_over:
                 _logger.event("shares have lapsed", reason=str(error))
                 self._held = None
@@ -225,7 +227,7 @@
         for name, clients in groups.items():
             if name in self._controllers or name in self._reliefs:
                 continue
-            if self._home.is_to_relieve(name):
+            if self._home.should_release(name):
                 controller = self._build_controller(name, clients)
                 if controller is not None:
                     task = await curio.spawn(controller.relieve, daemon=True)
--- a/siskinthread/group_maps/tests/test_duty.py
+++ b/siskinthread/group_maps/tests/test_duty.py
@@ -95,7 +95,7 @@
         """Return whether this process should control groups."""
         return self.is_candidate
 
-    def is_store_away(self):
+    def is_store_unreachable(self):
         """Return whether nobody reaches the store."""
         return self.is_away
 
@@ -114,7 +114,7 @@
         """Return whether a group is controlled from the own failure domain."""
         return self.home == set(rank_domains)
 
-    def is_to_relieve(self, name):
+    def should_release(self, name):
         """Return whether a group stands still."""
         return name in self._stalled
 
--- a/siskinthread/load_control/__init__.py
+++ b/siskinthread/load_control/__init__.py
@@ -26,11 +26,11 @@
 from siskinthread.load_control._admission import Admission
 from siskinthread.load_control._binding_cause import BindingCause
 from siskinthread.load_control._load_control import LoadControl
-from siskinthread.load_control._outage_durations import OutageLengths
-from siskinthread.load_control._recent_priorities import PriorityMix
-from siskinthread.load_control._retry_detector import ReturningCallers
-from siskinthread.load_control._retry_schedule import ReturnBook, ScheduledRetry
-from siskinthread.load_control._route_durations import RequestTimes
+from siskinthread.load_control._outage_durations import OutageDurations
+from siskinthread.load_control._recent_priorities import RecentPriorities
+from siskinthread.load_control._retry_detector import RetryDetector
+from siskinthread.load_control._retry_schedule import RetrySchedule, ScheduledRetry
+from siskinthread.load_control._route_durations import RouteDurations
 from siskinthread.load_control._running_request import RunningRequest
 from siskinthread.load_control._settings import LoadControlSettings
 from siskinthread.load_control._speed_settings import SpeedSettings
@@ -46,8 +46,8 @@
     Waiter,
     WaitFacts,
     WaitOrder,
+    WaitPolicy,
     WaitQueue,
-    WaitRules,
 )
 from siskinthread.load_control._waiting_settings import ReturnSettings, WaitingSettings
 
@@ -58,12 +58,12 @@
     "LoadControl",
     "LoadControlSettings",
     "NoWait",
-    "OutageLengths",
-    "PriorityMix",
-    "RequestTimes",
-    "ReturnBook",
+    "OutageDurations",
+    "RecentPriorities",
+    "RouteDurations",
+    "RetrySchedule",
     "ReturnSettings",
-    "ReturningCallers",
+    "RetryDetector",
     "RunningRequest",
     "SpeedSettings",
     "SpeedStatement",
@@ -72,7 +72,7 @@
     "WaitFacts",
     "WaitOrder",
     "WaitQueue",
-    "WaitRules",
+    "WaitPolicy",
     "Waiter",
     "WaitingSettings",
     "add_speeds",
--- a/siskinthread/load_control/_admission.py
+++ b/siskinthread/load_control/_admission.py
@@ -37,7 +37,7 @@
         "cause",
         "is_surging",
         "max_mean_load",
-        "most_load",
+        "max_load",
         "request",
         "reserved_share",
         "usable",
@@ -49,7 +49,7 @@
         self.usable = candidates
         self.admitting = candidates
         self.cause = None
-        self.most_load = 1.0
+        self.max_load = 1.0
         self.max_mean_load = 1.0
         self.reserved_share = 0.0
         self.is_surging = False
--- a/siskinthread/load_control/_binding_cause.py
+++ b/siskinthread/load_control/_binding_cause.py
@@ -32,6 +32,6 @@
     NO_TARGET = "no_target"
 
     @property
-    def may_pass(self):
+    def is_transient(self):
         """Whether the cause may end while a request waits."""
         return self not in (BindingCause.SURGING, BindingCause.NO_TARGET)
--- a/siskinthread/load_control/_load_control.py
+++ b/siskinthread/load_control/_load_control.py
@@ -127,7 +127,7 @@
         self._passes.services = table.services
         self._token_usage.services = table.services
 
-    def weigh(self, request, candidates, group_of):
+    def evaluate(self, request, candidates, group_of):
         """Return the `Admission` of a request.
 
         Parameters
@@ -157,7 +157,7 @@
             # group.
             is_paced = request.is_paced and not request.kind.is_stream
             is_exact = queue_share > 0 or is_paced
-        admission.most_load += queue_share
+        admission.max_load += queue_share
         # The margin below full slots covers slots that several hosts fill at once.
         # Shares prevent that, and a request that may queue at the target tolerates it.
         full_load = self._gateway_settings.full_load
@@ -182,7 +182,7 @@
         BindingCause or None
         """
         chosen_load = self._loads.total(chosen.instance_id) / max(1, chosen.slot_count)
-        if chosen_load >= admission.most_load or load >= admission.max_mean_load:
+        if chosen_load >= admission.max_load or load >= admission.max_mean_load:
             return BindingCause.FULL
         if admission.is_surging and load >= self._fair_load:
             return BindingCause.SURGING
--- a/siskinthread/load_control/_outage_durations.py
+++ b/siskinthread/load_control/_outage_durations.py
@@ -7,7 +7,7 @@
 SERVICES_LIMIT = 64
 
 
-class OutageLengths:
+class OutageDurations:
     """Durations of earlier outages, and an estimate for the current one.
 
     Parameters
--- a/siskinthread/load_control/_peer_loads.py
+++ b/siskinthread/load_control/_peer_loads.py
@@ -59,11 +59,13 @@
 
     def host_count(self):
         """Return the number of hosts that report their loads, including this one."""
-        return 1 + self._loads.peers.sharing_count() if self.has_peer_loads() else 1
+        return (
+            1 + self._loads.peers.full_rate_peer_count() if self.has_peer_loads() else 1
+        )
 
     def interval_s(self):
         """Return the time between two reports of a host, seconds; 0 without peers."""
-        return self._loads.peers.told_interval_s() if self.has_peer_loads() else 0.0
+        return self._loads.peers.send_interval_s() if self.has_peer_loads() else 0.0
 
     def mean_age_s(self):
         """Return the mean age of the loads that other hosts reported, seconds."""
--- a/siskinthread/load_control/_placement.py
+++ b/siskinthread/load_control/_placement.py
@@ -97,7 +97,7 @@
         self._clock = clock
         self._random = random
 
-    def prefer(self, candidates, unseen_count, fleet_per_s, most_load=1.0):
+    def prefer(self, candidates, unseen_count, fleet_per_s, max_load=1.0):
         """Return the `Preference` among some targets.
 
         Parameters
@@ -114,7 +114,7 @@
         trials = [c for c in candidates if self._is_trial_due(c, fleet_per_s)]
         if trials:
             return Preference([self._random.choice(trials).entry], is_trial=True)
-        load_limit = max(1.0, most_load)
+        load_limit = max(1.0, max_load)
         free = [c for c in candidates if c.count < load_limit * c.entry.slot_count]
         candidates = free or candidates
         if unseen_count < UNREPORTED_LIMIT * len(candidates):
--- a/siskinthread/load_control/_recent_priorities.py
+++ b/siskinthread/load_control/_recent_priorities.py
@@ -4,7 +4,7 @@
 ENTRIES_LIMIT = 256
 
 
-class PriorityMix:
+class RecentPriorities:
     """Time of the last request of each priority, by service.
 
     Parameters
--- a/siskinthread/load_control/_retry_detector.py
+++ b/siskinthread/load_control/_retry_detector.py
@@ -13,7 +13,7 @@
 FIRST_TRY_QUANTILE = 0.05
 
 
-class ReturningCallers:
+class RetryDetector:
     """Recognises retries of refused callers by their remaining time.
 
     Parameters
--- a/siskinthread/load_control/_retry_schedule.py
+++ b/siskinthread/load_control/_retry_schedule.py
@@ -16,7 +16,7 @@
 SHARED_SLOT_COUNT = 4
 
 
-class ReturnBook:
+class RetrySchedule:
     """Counts the retry slots promised to the callers of one service, by time step.
 
     Parameters
--- a/siskinthread/load_control/_route_durations.py
+++ b/siskinthread/load_control/_route_durations.py
@@ -4,7 +4,7 @@
 ROUTES_LIMIT = 512
 
 
-class RequestTimes:
+class RouteDurations:
     """Exponentially weighted mean of the request durations of each route.
 
     Parameters
--- a/siskinthread/load_control/_speed_view.py
+++ b/siskinthread/load_control/_speed_view.py
@@ -66,7 +66,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Provides the measurements of other hosts.
 
     Notes
@@ -149,7 +149,7 @@
         for deviating in self._deviating.values():
             deviating.pop(instance_id, None)
 
-    def off_usual_count(self):
+    def deviating_count(self):
         """Return the number of targets that measurably deviate."""
         return sum(len(deviating) for deviating in self._deviating.values())
 
--- a/siskinthread/load_control/_speeds.py
+++ b/siskinthread/load_control/_speeds.py
@@ -41,7 +41,7 @@
 
     @property
     def peers(self):
-        """Source of the measurements of peers, a `siskinthread.peer_news.PeerNews`."""
+        """Source of the measurements of peers, `siskinthread.peer_news.PeerGossip`."""
         return self._view.peers
 
     @peers.setter
@@ -69,7 +69,7 @@
         """Return groups with clearly longer passes; see `GroupPasses.slow_groups`."""
         return self._passes.slow_groups(service_name, get_loads)
 
-    def prefer(self, request, serving, admitting, most_load):
+    def prefer(self, request, serving, admitting, max_load):
         """Return the preferred targets among those that admit a request.
 
         Parameters
@@ -102,7 +102,7 @@
             for entry in admitting
         ]
         preference = self.placement.prefer(
-            candidates, self._loads.unseen_count(), self._loads.fleet_per_s(), most_load
+            candidates, self._loads.unseen_count(), self._loads.fleet_per_s(), max_load
         )
         if preference.is_trial:
             self._measures.placed_by_speed("trial")
@@ -110,9 +110,9 @@
             self._measures.placed_by_speed("preferred")
         return preference.entries
 
-    def off_usual_count(self):
+    def deviating_count(self):
         """Return the number of targets that measurably deviate."""
-        return self._view.off_usual_count()
+        return self._view.deviating_count()
 
     def forget(self, instance_id):
         """Drop the state of a target that is gone."""
--- a/siskinthread/load_control/_waiting.py
+++ b/siskinthread/load_control/_waiting.py
@@ -91,7 +91,7 @@
         return self.deadline.at_s - self.usual_s
 
 
-class WaitRules:
+class WaitPolicy:
     """Decides whether a request waits, and until when.
 
     Parameters
--- a/siskinthread/load_control/tests/busy_hosts.py
+++ b/siskinthread/load_control/tests/busy_hosts.py
@@ -54,8 +54,8 @@
         else:
             act(*arguments)
 
-    def _tell(self, host):
-        self._run_or_defer(host, super()._tell, host)
+    def _report(self, host):
+        self._run_or_defer(host, super()._report, host)
 
     def _try_at(self, host, *arguments):
         self._run_or_defer(host, super()._try_at, host, *arguments)
--- a/siskinthread/load_control/tests/fault_replay.py
+++ b/siskinthread/load_control/tests/fault_replay.py
@@ -8,9 +8,9 @@
 import argparse
 import logging
 
-from siskinthread.load_control.tests.replay import Kind, Replay, ToldPeers
-from siskinthread.peer_news import PeerNewsSettings
-from siskinthread.peer_news._news import add_counts
+from siskinthread.load_control.tests.replay import Kind, Replay, SimulatedPeers
+from siskinthread.peer_news import PeerGossipSettings
+from siskinthread.peer_news._message import add_counts
 
 FAULTS = ("none", "killed", "cut", "joins")
 URGENT_S = 0.4
@@ -23,10 +23,10 @@
 URGENT_PER_S = 24
 DRAFT_PER_S = 240
 DOMAIN_COUNT = 3
-PEER_SETTINGS = PeerNewsSettings()
+PEER_SETTINGS = PeerGossipSettings()
 
 
-class PartitionedPeers(ToldPeers):
+class PartitionedPeers(SimulatedPeers):
     """Reports of the hosts on the same side of a partition.
 
     The last reports of the other side count until they are stale.
@@ -51,7 +51,7 @@
     def counts(self, instance_id):
         """Return the last reported number of requests at a target."""
         total = self._replay.reported_count(self._own, instance_id)
-        return total - self._own.told.get(instance_id, 0)
+        return total - self._own.reported.get(instance_id, 0)
 
 
 class FaultReplay(Replay):
@@ -136,11 +136,11 @@
         self._partitioned_at_s = self.now_s()
         self._last_reports = [dict(sums) for sums in self._reported_sums]
 
-    def _tell(self, host):
+    def _report(self, host):
         sums = self._reported_sums[host in self._affected_hosts]
-        add_counts(sums, {name: -count for name, count in host.told.items()})
-        super()._tell(host)
-        add_counts(sums, host.told)
+        add_counts(sums, {name: -count for name, count in host.reported.items()})
+        super()._report(host)
+        add_counts(sums, host.reported)
 
     def _try(self, call, hosts, is_first):
         present_hosts = [host for host in hosts if host not in self._absent_hosts]
--- a/siskinthread/load_control/tests/replay.py
+++ b/siskinthread/load_control/tests/replay.py
@@ -16,7 +16,7 @@
 )
 from siskinthread.observability import Metrics
 from siskinthread.outcomes import End, Outcome, Reason
-from siskinthread.peer_news._news import add_counts
+from siskinthread.peer_news._message import add_counts
 from siskinthread.timing import Deadline, ManualClock
 
 SERVICE = "app"
@@ -98,7 +98,7 @@
         self.queue = []
 
 
-class ToldPeers:
+class SimulatedPeers:
     """The latest reports of the other hosts."""
 
     def __init__(self, hosts, own, interval_s):
@@ -114,18 +114,18 @@
         """Return that all hosts report at the full rate."""
         return False
 
-    def sharing_count(self):
+    def full_rate_peer_count(self):
         """Return the number of other hosts."""
         return len(self._hosts) - 1
 
-    def told_interval_s(self):
+    def send_interval_s(self):
         """Return the time between two reports of a host, seconds."""
         return self._interval_s
 
     def counts(self, instance_id):
         """Return the last reported number of requests at a target."""
         return sum(
-            host.told.get(instance_id, 0)
+            host.reported.get(instance_id, 0)
             for host in self._hosts
             if host is not self._own
         )
@@ -158,14 +158,14 @@
 
     def newest_pass(self, group):
         """Return the newest reported pass of a group, or None."""
-        told = [
+        reported = [
             (host.reported_at_s, host.reported_passes_s[group])
             for host in self._hosts
             if host is not self._own and group in host.reported_passes_s
         ]
-        if not told:
+        if not reported:
             return None
-        reported_at_s, pass_s = max(told)
+        reported_at_s, pass_s = max(reported)
         return pass_s, reported_at_s
 
     def stalled_groups(self):
@@ -185,7 +185,7 @@
         self.parts = GatewayParts(
             settings, domain, None, clock, Metrics(), random.Random(seed)
         )
-        self.told = {}
+        self.reported = {}
         self.reported_accounts = {}
         self.reported_passes_s = {}
         self.reported_excess = {}
@@ -259,11 +259,11 @@
         ]
         for number, host in enumerate(self.hosts):
             host.parts.targets.replace([one.entry for one in self.targets.values()])
-            peers = ToldPeers(self.hosts, host, interval_s)
+            peers = SimulatedPeers(self.hosts, host, interval_s)
             host.parts.loads.peers = peers
             host.parts.accounts.peers = peers
             host.parts.load_control.speeds.peers = peers
-            self.at(number * interval_s / host_count, self._tell, host)
+            self.at(number * interval_s / host_count, self._report, host)
             self.at(1.0, self._sample, host)
 
     def at(self, at_s, act, *arguments):
@@ -316,14 +316,14 @@
             Deadline.after(self.clock, 8.0),
         )
 
-    def _tell(self, host):
-        host.told = host.parts.loads.own_counts()
+    def _report(self, host):
+        host.reported = host.parts.loads.own_counts()
         host.reported_accounts = host.parts.accounts.own_counts()
         host.reported_excess = host.parts.load_control.excess_tokens()
         host.reported_speeds = host.parts.load_control.speeds.statements()
         host.reported_passes_s = host.parts.progress.passes_s()
         host.reported_at_s = self.clock.monotonic_s()
-        self.at(self.now_s() + self.interval_s, self._tell, host)
+        self.at(self.now_s() + self.interval_s, self._report, host)
 
     def _sample(self, host):
         host.parts.accounts.sample()
@@ -369,7 +369,7 @@
             host.parts.load_control.note_declined(request, load)
             tried.add(chosen.instance_id)
             if len(tried) == request.route.attempt_limit:
-                wait_s = host.parts.choice.come_back_after_s(request)
+                wait_s = host.parts.choice.retry_delay_s(request)
                 return End(
                     Outcome.REFUSED_NOT_RUN,
                     Reason.TARGET_REFUSED,
--- a/siskinthread/load_control/tests/speed_replay.py
+++ b/siskinthread/load_control/tests/speed_replay.py
@@ -5,8 +5,8 @@
 from siskinthread.gateway import RequestKind
 from siskinthread.load_control import add_speeds
 from siskinthread.load_control._placement import Preference, SpeedPlacement
-from siskinthread.load_control.tests.replay import Kind, Replay, ToldPeers
-from siskinthread.peer_news._news import add_counts
+from siskinthread.load_control.tests.replay import Kind, Replay, SimulatedPeers
+from siskinthread.peer_news._message import add_counts
 
 DOMAINS = ("a", "b", "c")
 NEAR_S, FAR_S = 0.0002, 0.001
@@ -70,15 +70,15 @@
             speeds = parts.load_control.speeds
             speeds.placement = build(parts.settings.speeds, parts.clock, parts.random)
 
-    def _tell(self, host):
-        before = host.told, host.reported_speeds
-        super()._tell(host)
-        told = host.told, host.reported_speeds
-        host.told, host.reported_speeds = before
-        self.at(self.now_s() + self._report_delay_s, self._deliver, host, told)
+    def _report(self, host):
+        before = host.reported, host.reported_speeds
+        super()._report(host)
+        reported = host.reported, host.reported_speeds
+        host.reported, host.reported_speeds = before
+        self.at(self.now_s() + self._report_delay_s, self._deliver, host, reported)
 
-    def _deliver(self, host, told):
-        host.told, host.reported_speeds = told
+    def _deliver(self, host, reported):
+        host.reported, host.reported_speeds = reported
 
     def _attempt(self, host, request, call):
         call.domain = host.domain
@@ -120,12 +120,12 @@
 class LeastTime(SpeedPlacement):
     """Prefers the target with the shortest expected time at any age of the loads."""
 
-    def prefer(self, candidates, unseen_count, fleet_per_s, most_load=1.0):
+    def prefer(self, candidates, unseen_count, fleet_per_s, max_load=1.0):
         """Return the `Preference` among some targets; see `SpeedPlacement.prefer`."""
-        return super().prefer(candidates, 0.0, fleet_per_s, most_load)
+        return super().prefer(candidates, 0.0, fleet_per_s, max_load)
 
 
-class DomainSummaryPeers(ToldPeers):
+class DomainSummaryPeers(SimulatedPeers):
     """Peers of which only those of the own failure domain report frequently.
 
     Each other domain reports a sum of its loads and speeds once per second.
@@ -152,7 +152,7 @@
         """Return the last reported speeds of targets."""
         self._take_sums()
         by_s = self._own.parts.clock.monotonic_s() - self._summary_at_s
-        sums = {one: told.aged(by_s) for one, told in self._speeds.items()}
+        sums = {one: reported.aged(by_s) for one, reported in self._speeds.items()}
         add_speeds(sums, super().speeds())
         return sums
 
@@ -163,14 +163,14 @@
         self._summary_at_s = now_s
         self._counts, self._speeds = {}, {}
         for host in self._far:
-            add_counts(self._counts, host.told)
+            add_counts(self._counts, host.reported)
             add_speeds(self._speeds, host.reported_speeds)
 
 
 class TwoCandidates(SpeedPlacement):
     """Draws two targets by speed, and prefers the one expected to be faster."""
 
-    def prefer(self, candidates, unseen_count, fleet_per_s, most_load=1.0):
+    def prefer(self, candidates, unseen_count, fleet_per_s, max_load=1.0):
         """Return the `Preference` among some targets; see `SpeedPlacement.prefer`."""
         weights = [1 / self.time_at_unknown_load(one) for one in candidates]
         drawn = self._random.choices(candidates, weights, k=2)
@@ -181,7 +181,7 @@
 class SpeedShares(SpeedPlacement):
     """Draws a target in proportion to its speed."""
 
-    def prefer(self, candidates, unseen_count, fleet_per_s, most_load=1.0):
+    def prefer(self, candidates, unseen_count, fleet_per_s, max_load=1.0):
         """Return the `Preference` among some targets; see `SpeedPlacement.prefer`."""
         weights = [1 / self.time_at_unknown_load(one) for one in candidates]
         return Preference([self._random.choices(candidates, weights)[0].entry])
--- a/siskinthread/load_control/tests/test_retries.py
+++ b/siskinthread/load_control/tests/test_retries.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from siskinthread.load_control import ReturnBook, ReturningCallers, ReturnSettings
+from siskinthread.load_control import RetryDetector, RetrySchedule, ReturnSettings
 from siskinthread.timing import ManualClock
 
 # The whole rate is promised, so a step of 0.1 s at 20 per second has two slots.
@@ -15,7 +15,7 @@
 
 def make_schedule(clock=None):
     """Return an empty schedule."""
-    return ReturnBook(SETTINGS, clock or ManualClock())
+    return RetrySchedule(SETTINGS, clock or ManualClock())
 
 
 @pytest.mark.parametrize(
@@ -36,7 +36,7 @@
 
     An immediate retry must gain none, and a retry at the time told must have it.
     """
-    detector = ReturningCallers(SETTINGS, ManualClock())
+    detector = RetryDetector(SETTINGS, ManualClock())
     assert not detector.note("r", 8.0)
     detector.note_told(2.5)
     assert detector.note("r", left_s) is is_return
@@ -50,7 +50,7 @@
     two thirds of them, those with less than 7.94 s, counted as retries.
     """
     drawn = random.Random(4)
-    detector = ReturningCallers(SETTINGS, ManualClock())
+    detector = RetryDetector(SETTINGS, ManualClock())
     first_s = [drawn.uniform(7.0, 8.1) for _ in range(200)]
     assert not any(detector.note("r", left_s) for left_s in first_s)
     detector.note_told(2.5)
@@ -61,7 +61,7 @@
 def test_no_request_is_a_retry_while_none_is_due():
     """Guards against counting short time limits as retries while no retry is due."""
     clock = ManualClock()
-    detector = ReturningCallers(SETTINGS, clock)
+    detector = RetryDetector(SETTINGS, clock)
     detector.note("r", 8.0)
     assert not detector.note("r", 5.0)
     detector.note_told(2.0)
@@ -72,7 +72,7 @@
 def test_shorter_time_limits_of_a_route_are_learned():
     """Guards against counting all requests as retries once deadlines are shorter."""
     clock = ManualClock()
-    detector = ReturningCallers(SETTINGS, clock)
+    detector = RetryDetector(SETTINGS, clock)
     detector.note("r", 8.0)
     detector.note_told(2.5)
     assert detector.note("r", 6.0)
@@ -82,7 +82,7 @@
     detector.note_told(2.5)
     assert not detector.note("r", 5.95)
     # The same if callers are told to retry throughout.
-    detector = ReturningCallers(SETTINGS, clock)
+    detector = RetryDetector(SETTINGS, clock)
     detector.note("r", 8.0)
     detector.note_told(SETTINGS.newcomer_memory_s + 1.0)
     clock.advance(SETTINGS.newcomer_memory_s + 0.01)
@@ -154,7 +154,7 @@
     """Guards against retries that take more slots than were promised."""
     clock = ManualClock()
     settings = ReturnSettings(booked_share=1.0, overdraft_limit=0)
-    schedule = ReturnBook(settings, clock)
+    schedule = RetrySchedule(settings, clock)
     assert not schedule.note_came(1)
     for _ in range(2):
         assert schedule.book(1, 1.0, 1.05, RATE_PER_S) is not None
@@ -184,7 +184,7 @@
     """Guards against promised slots that make requests late which are in time."""
     settings = ReturnSettings(booked_share=0.25, booked_least_share=0.05)
     for in_time_per_s, expected in ((0.0, 25), (90.0, 10), (200.0, 5)):
-        schedule = ReturnBook(settings, ManualClock())
+        schedule = RetrySchedule(settings, ManualClock())
         scheduled = [
             schedule.book(1, 0.0, 0.95, 100.0, in_time_per_s) for _ in range(50)
         ]
@@ -197,7 +197,7 @@
 
     A request takes up to 50 ms to the host, and its response up to 10 ms.
     """
-    detector = ReturningCallers(SETTINGS, ManualClock())
+    detector = RetryDetector(SETTINGS, ManualClock())
     detector.note("r", 8.0)
     latest_s = 0.31 * 8.0
     promised_s = detector.promise_limit_s("r", 8.0, latest_s)
--- a/siskinthread/load_control/tests/test_size_replay.py
+++ b/siskinthread/load_control/tests/test_size_replay.py
@@ -106,7 +106,7 @@
     kind = Kind("small", 1, token_counts=TokenCounts(700, 400))
     request = replay.request(kind)
     target = entry("i-0", SERVICE)
-    admission = host.parts.load_control.weigh(request, [target], lambda one: None)
+    admission = host.parts.load_control.evaluate(request, [target], lambda one: None)
     assert admission.cause is None
 
 
--- a/siskinthread/load_control/tests/test_waiting.py
+++ b/siskinthread/load_control/tests/test_waiting.py
@@ -6,13 +6,13 @@
 
 from siskinthread.load_control import (
     NoWait,
-    OutageLengths,
-    RequestTimes,
+    OutageDurations,
+    RouteDurations,
     Waiter,
     WaitFacts,
     WaitingSettings,
+    WaitPolicy,
     WaitQueue,
-    WaitRules,
 )
 from siskinthread.timing import Deadline, ManualClock
 
@@ -31,7 +31,7 @@
 
 def decide(clock, *arguments, **values):
     """Return how long a request may wait, seconds, or why it does not."""
-    decision = WaitRules(WaitingSettings(), clock).decide(
+    decision = WaitPolicy(WaitingSettings(), clock).decide(
         facts(clock, *arguments, **values)
     )
     return decision if isinstance(decision, NoWait) else round(decision.left_s(), 3)
@@ -60,7 +60,7 @@
 def test_expected_rest_of_an_outage():
     """Guards against estimating that an outage of 3 s ends at once, or never."""
     clock = ManualClock()
-    lengths = OutageLengths(WaitingSettings(), clock)
+    lengths = OutageDurations(WaitingSettings(), clock)
     began_at_s = clock.monotonic_s()
     clock.advance(0.5)
     assert lengths.expected_left_s("app", began_at_s) == 0.5
@@ -103,7 +103,7 @@
 
 def test_usual_time_follows_requests():
     """Guards against a mean duration dominated by old requests."""
-    times = RequestTimes(WaitingSettings())
+    times = RouteDurations(WaitingSettings())
     assert times.usual_s("r") == 0.0
     times.note("r", 1.0)
     for _ in range(60):
--- a/siskinthread/peer_news/__init__.py
+++ b/siskinthread/peer_news/__init__.py
@@ -20,15 +20,15 @@
 """
 
 from siskinthread.peer_news._evacuations import EvacuationStatement
-from siskinthread.peer_news._news import (
+from siskinthread.peer_news._message import (
     HostState,
     LeavingStatement,
     ListStatement,
-    News,
+    PeerMessage,
 )
 from siskinthread.peer_news._outages import GroupOutageStatement
-from siskinthread.peer_news._peers import PeerNews
-from siskinthread.peer_news._settings import PeerNewsSettings
+from siskinthread.peer_news._peers import PeerGossip
+from siskinthread.peer_news._settings import PeerGossipSettings
 from siskinthread.peer_news._table_reading import SuspectsReading, TableReading
 
 __all__ = [
@@ -37,9 +37,9 @@
     "HostState",
     "LeavingStatement",
     "ListStatement",
-    "News",
-    "PeerNews",
-    "PeerNewsSettings",
+    "PeerMessage",
+    "PeerGossip",
+    "PeerGossipSettings",
     "SuspectsReading",
     "TableReading",
 ]
--- a/siskinthread/peer_news/_listing_message.py
+++ b/siskinthread/peer_news/_listing_message.py
@@ -8,7 +8,7 @@
 import math
 
 from siskinthread.errors import ProtocolError
-from siskinthread.peer_news._news import ListStatement
+from siskinthread.peer_news._message import ListStatement
 from siskinthread.source_eras import Position
 
 LISTING_PREFIX = b"LISTING"
--- a/siskinthread/peer_news/_news.py
+++ b/siskinthread/peer_news/_message.py
@@ -230,7 +230,7 @@
         """Return what must reach all failure domains at once, without times."""
         return _evacuation_keys(self), _keys(self.cold)
 
-    def looks_like(self, other):
+    def is_equivalent_to(self, other):
         """Return whether this state holds nothing that another state does not."""
         return (
             other is not None
@@ -287,7 +287,7 @@
         sums[name] = sums.get(name, 0) + count
 
 
-class News:
+class PeerMessage:
     """Regular message of an entry host to its peers.
 
     It is encoded as JSON rather than in the frames of `siskinthread.wire`: those
--- a/siskinthread/peer_news/_peer_view.py
+++ b/siskinthread/peer_news/_peer_view.py
@@ -78,7 +78,7 @@
         "_cached_interval_s",
         "describe",
         "link_mbps",
-        "tells_roster",
+        "sends_roster",
     )
 
     def __init__(self, settings, address, failure_domain, first_peers, clock):
@@ -105,7 +105,7 @@
         self._settle_deadline = Deadline.after(clock, settings.fleet_settle_s)
         self.describe = None
         self.link_mbps = 0.0
-        self.tells_roster = False
+        self.sends_roster = False
 
     @property
     def own_domain(self):
@@ -143,7 +143,7 @@
         With so many peers that each sends less often than its loads count, the fresh
         loads are a part of all loads only.
         """
-        if self.told_interval_s() > self._settings.fresh_limit_s:
+        if self.send_interval_s() > self._settings.fresh_limit_s:
             return False
         return bool(self._summary().version_messages)
 
@@ -151,7 +151,7 @@
         """Return whether there are too many peers to send to all at full rate."""
         return len(self._peers) > self._settings.peers_at_full_rate
 
-    def sharing_count(self):
+    def full_rate_peer_count(self):
         """Return the number of peers whose loads come at full rate."""
         if self.is_crowded():
             return len(self._summary().near_messages)
@@ -171,10 +171,10 @@
             return None
         return 1 + self._max_peer_count
 
-    def told_interval_s(self):
+    def send_interval_s(self):
         """Return the interval between messages of a near peer with changing loads."""
         settings = self._settings
-        crowd = max(1.0, self.sharing_count() / settings.peers_at_full_rate)
+        crowd = max(1.0, self.full_rate_peer_count() / settings.peers_at_full_rate)
         return settings.interval_s * crowd
 
     def stalled_groups(self):
@@ -200,11 +200,11 @@
         """
         return self._summary().silent_asked_rates.get(service_name, 0.0)
 
-    def hears_others(self):
+    def has_peers(self):
         """Return whether any other host is known."""
         return bool(self._peers)
 
-    def turn_of(self, name):
+    def rendezvous_position(self, name):
         """Return the position of this host in the rendezvous order of the known hosts.
 
         All hosts compute the same order for a name, as far as they know the same hosts.
@@ -232,7 +232,7 @@
             self._is_roster_known = is_complete or self._roster_deadline.passed()
         return self._is_roster_known
 
-    def roster_place(self, name):
+    def roster_position(self, name):
         """Return the position of this host in the rendezvous order of the roster."""
         own = _rendezvous_key(name, self._address)
         return sum(_rendezvous_key(name, address) < own for address in self._roster)
@@ -362,7 +362,7 @@
         """Return the number of other hosts of the own failure domain."""
         return len(self._summary().near_messages)
 
-    def heard_domains(self):
+    def reachable_domains(self):
         """Return the failure domains of which some host has sent a message lately.
 
         Where there are many hosts, each other domain sends one datagram a second, which
@@ -376,7 +376,7 @@
             if received_at_s >= oldest_s
         }
 
-    def is_among_first(self, count):
+    def is_preferred_host(self, count):
         """Return whether this process is a preferred host of its failure domain.
 
         Informed hosts come before all others, and within each kind the hosts with the
@@ -440,13 +440,13 @@
         peer = self._peers.get(address)
         return None if peer is None or peer.message is None else peer.message.state
 
-    def _take(self, message):
+    def _receive(self, message):
         settings = self._settings
         peer = self._peers.get(message.sender)
         if peer is None:
             peer = self._add(message.sender)
         if self._cached_interval_s is None:
-            self._cached_interval_s = self.told_interval_s()
+            self._cached_interval_s = self.send_interval_s()
         peer.message = message
         self._senders.add(message.sender)
         self._reported_roster_count = max(
--- a/siskinthread/peer_news/_peers.py
+++ b/siskinthread/peer_news/_peers.py
@@ -10,7 +10,7 @@
     encode_listing_message,
     LISTING_PREFIX,
 )
-from siskinthread.peer_news._news import News
+from siskinthread.peer_news._message import PeerMessage
 from siskinthread.peer_news._outages import (
     decode_outage_message,
     encode_outage_message,
@@ -27,7 +27,7 @@
 URGENT_ROUNDS = 3
 
 
-class PeerNews(PeerView):
+class PeerGossip(PeerView):
     """Exchanges state with all entry hosts.
 
     Parameters
@@ -91,14 +91,14 @@
         "_last_urgent_keys",
         "limits",
         "poison",
-        "take_evacuations",
-        "take_cold",
-        "take_far_listing",
-        "take_leaving",
-        "take_listing",
-        "take_backoffs",
-        "take_outages",
-        "take_reading",
+        "on_evacuations",
+        "on_cold",
+        "on_far_listing",
+        "on_leaving",
+        "on_listing",
+        "on_backoffs",
+        "on_outages",
+        "on_reading",
     )
 
     def __init__(self, settings, address, failure_domain, first_peers, clock, random):
@@ -115,14 +115,14 @@
         self._far_deadline = Deadline.after(clock, 0.0)
         # When the reading of this host must be sent to its failure domain again.
         self._reading_deadline = Deadline.after(clock, 0.0)
-        self.take_listing = None
-        self.take_far_listing = None
-        self.take_reading = None
-        self.take_backoffs = None
-        self.take_leaving = None
-        self.take_outages = None
-        self.take_evacuations = None
-        self.take_cold = None
+        self.on_listing = None
+        self.on_far_listing = None
+        self.on_reading = None
+        self.on_backoffs = None
+        self.on_leaving = None
+        self.on_outages = None
+        self.on_evacuations = None
+        self.on_cold = None
         self.poison = None
         self.limits = None
         # Suspected requests in the messages of the current round, and those that were
@@ -130,14 +130,14 @@
         self._outgoing_suspects = []
         self._last_suspects = []
 
-    async def tell_domain(self):
+    async def send_to_domain(self):
         """Send the state to the peers of the own failure domain, without waiting."""
         if self._socket is not None:
             await self._send_to(
                 [message.sender for message in self._summary().near_messages]
             )
 
-    async def tell_far_readers(self, listing):
+    async def send_listing(self, listing):
         """Notify the reader of each other failure domain of a read of the target list.
 
         Parameters
@@ -189,8 +189,8 @@
                 if data.startswith(LISTING_PREFIX):
                     await self._handle_listing_message(data, source)
                     continue
-                message = News.decode(data)
-                self._take(message)
+                message = PeerMessage.decode(data)
+                self._receive(message)
                 await self._forward_sum(message, data, source)
                 await self._dispatch_listing(message.state.listing)
                 self._dispatch_statements(message)
@@ -208,30 +208,30 @@
         told_by = str(message.sender)
         if self.limits is not None:
             self.limits.hear(message.state.limits, told_by)
-        if self.take_backoffs is not None:
-            self.take_backoffs(message.state.backoffs, told_by)
-        if self.take_leaving is not None:
-            self.take_leaving(message.state.leaving, told_by)
-        if self.take_outages is not None:
-            self.take_outages(message.state.group_outages, told_by)
-        if self.take_evacuations is not None:
-            self.take_evacuations(message.state.evacuations, told_by)
-        if self.take_cold is not None:
-            self.take_cold(message.state.cold, told_by)
+        if self.on_backoffs is not None:
+            self.on_backoffs(message.state.backoffs, told_by)
+        if self.on_leaving is not None:
+            self.on_leaving(message.state.leaving, told_by)
+        if self.on_outages is not None:
+            self.on_outages(message.state.group_outages, told_by)
+        if self.on_evacuations is not None:
+            self.on_evacuations(message.state.evacuations, told_by)
+        if self.on_cold is not None:
+            self.on_cold(message.state.cold, told_by)
 
     def _handle_outage_message(self, data):
         sender, statements = decode_outage_message(data)
-        if self.take_outages is not None:
-            self.take_outages(statements, str(sender))
+        if self.on_outages is not None:
+            self.on_outages(statements, str(sender))
 
     async def _handle_listing_message(self, data, source):
         listing = decode_listing_message(data)
-        if self.take_far_listing is not None:
-            await self.take_far_listing(listing, Address(*source))
+        if self.on_far_listing is not None:
+            await self.on_far_listing(listing, Address(*source))
 
     async def _dispatch_listing(self, listing):
-        if listing is not None and self.take_listing is not None:
-            await self.take_listing(listing)
+        if listing is not None and self.on_listing is not None:
+            await self.on_listing(listing)
 
     async def _dispatch_reading(self, message):
         """Pass on the reading of a reader of the own failure domain.
@@ -241,10 +241,10 @@
         """
         reading = message.state.table_reading
         is_near = message.failure_domain == self._failure_domain
-        if reading is None or self.take_reading is None:
+        if reading is None or self.on_reading is None:
             return
         if is_near and message.state.is_informed:
-            await self.take_reading(reading, message.sender)
+            await self.on_reading(reading, message.sender)
 
     async def _send_forever(self):
         while True:
@@ -259,7 +259,7 @@
         round, which comes each 1.25 s with 100 hosts in a failure domain.
         """
         wait_s = self._round_deadline.left_s()
-        return min(self._settings.interval_s, wait_s) if self.tells_roster else wait_s
+        return min(self._settings.interval_s, wait_s) if self.sends_roster else wait_s
 
     async def _send_when_due(self):
         """Send messages if a round is due, or an urgent change is pending."""
@@ -267,7 +267,7 @@
             self._schedule_urgent(self.describe())
             if not self._urgent_rounds:
                 return
-        wait_s = self.told_interval_s()
+        wait_s = self.send_interval_s()
         self._round_deadline = Deadline.after(self._clock, wait_s)
         await self._run_round()
 
@@ -277,11 +277,11 @@
         is_quiet_due = self._quiet_deadline.passed()
         suspects = [] if self.poison is None else self.poison.statements()
         is_suspect_new = self._has_new(suspects)
-        is_known = state.looks_like(self._last_sent_state) and not is_suspect_new
+        is_known = state.is_equivalent_to(self._last_sent_state) and not is_suspect_new
         is_far_due = is_quiet_due or self._urgent_rounds > 0
         if is_known and not is_far_due:
             if state.table_reading is not None and self._reading_deadline.passed():
-                await self.tell_domain()
+                await self.send_to_domain()
             return
         self._last_sent_state = state
         self._urgent_rounds = max(0, self._urgent_rounds - 1)
@@ -326,7 +326,7 @@
             await self._send_to(self._near_addresses())
             await self._send_to_other_domains()
         else:
-            await self.tell_domain()
+            await self.send_to_domain()
 
     def _near_addresses(self):
         """Return all known hosts of the own failure domain, silent ones included.
@@ -398,14 +398,14 @@
 
     async def _send_to(self, addresses, state=None):
         state = self.describe() if state is None else state
-        data = News(
+        data = PeerMessage(
             self._address,
             self._failure_domain,
             state,
             self._sample_peers(),
             self.link_mbps,
             self._outgoing_suspects,
-            self.roster_count() if self.tells_roster else 0,
+            self.roster_count() if self.sends_roster else 0,
         ).encode(self._settings.size_limit_bytes)
         if state.table_reading is not None:
             wait_s = self._settings.reading_interval_s
--- a/siskinthread/peer_news/_settings.py
+++ b/siskinthread/peer_news/_settings.py
@@ -3,7 +3,7 @@
 from siskinthread.settings import Item, Section
 
 
-class PeerNewsSettings(Section):
+class PeerGossipSettings(Section):
     """How often messages are sent, and how long their contents count."""
 
     interval_s = Item(
--- a/siskinthread/peer_news/_summary.py
+++ b/siskinthread/peer_news/_summary.py
@@ -3,7 +3,7 @@
 import math
 
 from siskinthread.load_control import add_speeds
-from siskinthread.peer_news._news import add_counts
+from siskinthread.peer_news._message import add_counts
 from siskinthread.peer_news._speeds import ReceivedSpeeds
 from siskinthread.target_limits import ColdStatement
 
--- a/siskinthread/peer_news/tests/scripted_fleet.py
+++ b/siskinthread/peer_news/tests/scripted_fleet.py
@@ -8,7 +8,7 @@
 import itertools
 import random
 
-from siskinthread.peer_news import PeerNews, PeerNewsSettings
+from siskinthread.peer_news import PeerGossip, PeerGossipSettings
 from siskinthread.settings import Address
 from siskinthread.timing import ManualClock
 
@@ -65,7 +65,7 @@
         self.is_up = True
         self.random = random.Random(fleet.random.random())
         self.socket = _FakeSocket(fleet, self)
-        self.news = PeerNews(
+        self.gossip = PeerGossip(
             fleet.settings,
             self.address,
             domain,
@@ -73,7 +73,7 @@
             fleet.clock,
             self.random,
         )
-        self.news._socket = self.socket
+        self.gossip._socket = self.socket
 
 
 class ScriptedFleet:
@@ -95,7 +95,7 @@
     def __init__(self, build, host_count, seed=1, lost_share=LOST_SHARE):
         self.clock = ManualClock(monotonic_s=0.0)
         self.random = random.Random(seed)
-        self.settings = PeerNewsSettings()
+        self.settings = PeerGossipSettings()
         self.hosts = []
         self.sent_bytes = 0
         self._build = build
@@ -183,13 +183,13 @@
     def _deliver(self, host, data, sender):
         if host.is_up:
             host.socket.delivered.append((data, sender))
-            _run_until_blocked(host.news._receive_forever())
+            _run_until_blocked(host.gossip._receive_forever())
 
     def _run_rounds(self, host):
         if host.is_up:
-            host.news._forget_silent_peers()
-            _run_until_blocked(host.news._send_when_due())
-            self.after(host.news.round_wait_s(), self._run_rounds, host)
+            host.gossip._forget_silent_peers()
+            _run_until_blocked(host.gossip._send_when_due())
+            self.after(host.gossip.round_wait_s(), self._run_rounds, host)
 
 
 def address_of(number):
--- a/siskinthread/peer_news/tests/test_peers.py
+++ b/siskinthread/peer_news/tests/test_peers.py
@@ -14,9 +14,9 @@
     HostState,
     LeavingStatement,
     ListStatement,
-    News,
-    PeerNews,
-    PeerNewsSettings,
+    PeerGossip,
+    PeerGossipSettings,
+    PeerMessage,
     SuspectsReading,
     TableReading,
 )
@@ -28,7 +28,7 @@
 from siskinthread.peer_news._outages import decode_outage_message
 from siskinthread.peer_news._speeds import SPEEDS_LIMIT
 from siskinthread.poison_requests import (
-    EndStatement,
+    CrashStatement,
     PoisonRegister,
     PoisonSettings,
     SuspectStatement,
@@ -42,7 +42,7 @@
 )
 from siskinthread.timing import ManualClock, SYSTEM_CLOCK
 
-SETTINGS = PeerNewsSettings(
+SETTINGS = PeerGossipSettings(
     interval_s=0.01, quiet_interval_s=0.02, fresh_limit_s=0.2, forget_after_s=0.6
 )
 HANG_S = 10.0
@@ -61,7 +61,7 @@
 
 def build(address, first_peers, state, domain="a", clock=SYSTEM_CLOCK):
     """Return the gossip of one host."""
-    gossip = PeerNews(SETTINGS, address, domain, first_peers, clock, random.Random(1))
+    gossip = PeerGossip(SETTINGS, address, domain, first_peers, clock, random.Random(1))
     gossip.describe = lambda: state
     return gossip
 
@@ -105,7 +105,7 @@
     clock = ManualClock()
     here, there = Address("127.0.0.1", 1), Address("127.0.0.1", 2)
     gossip = build(here, [], None, clock=clock)
-    gossip._take(News(there, "a", HostState(5, True, {"i-1": 4}), []))
+    gossip._receive(PeerMessage(there, "a", HostState(5, True, {"i-1": 4}), []))
     assert gossip.counts("i-1") == 4
     clock.advance(SETTINGS.fresh_limit_s + 0.01)
     assert gossip.counts("i-1") == 0
@@ -120,7 +120,7 @@
 def test_any_datagram_decodes_or_raises_protocol_error(data):
     """No datagram ends the task that receives messages."""
     with pytest.raises(ProtocolError):
-        News.decode(data)
+        PeerMessage.decode(data)
 
 
 def test_message_round_trip():
@@ -128,7 +128,7 @@
     peer = Address("10.0.0.1", 7340)
     listing = ListStatement(Position(4, 70), 2**47, 0.25)
     sent = HostState(3, True, {"i-1": 2}, listing, ["g-1"])
-    message = News.decode(News(peer, "b", sent, [peer]).encode())
+    message = PeerMessage.decode(PeerMessage(peer, "b", sent, [peer]).encode())
     state, listing = message.state, message.state.listing
     assert (message.sender, message.failure_domain, message.peers) == (
         peer,
@@ -151,15 +151,19 @@
     here = Address("10.0.0.5", 1)
     gossip = build(here, [], None, clock=clock)
     assert gossip.is_reader()
-    gossip._take(News(Address("10.0.0.1", 1), "b", HostState(1, True, {}), []))
-    gossip._take(News(Address("10.0.0.9", 1), "a", HostState(1, True, {}), []))
+    gossip._receive(
+        PeerMessage(Address("10.0.0.1", 1), "b", HostState(1, True, {}), [])
+    )
+    gossip._receive(
+        PeerMessage(Address("10.0.0.9", 1), "a", HostState(1, True, {}), [])
+    )
     assert gossip.is_reader()
     first = Address("10.0.0.2", 1)
-    gossip._take(News(first, "a", HostState(1, True, {}), []))
+    gossip._receive(PeerMessage(first, "a", HostState(1, True, {}), []))
     assert not gossip.is_reader()
-    gossip._take(News(first, "a", HostState(1, False, {}), []))
+    gossip._receive(PeerMessage(first, "a", HostState(1, False, {}), []))
     assert gossip.is_reader()
-    gossip._take(News(first, "a", HostState(1, True, {}), []))
+    gossip._receive(PeerMessage(first, "a", HostState(1, True, {}), []))
     clock.advance(SETTINGS.fresh_limit_s + 0.01)
     assert gossip.is_reader()
 
@@ -168,14 +172,24 @@
     """Guards against failure domains with no reader, or with too many."""
     gossip = build(Address("10.0.0.5", 1), [], None)
     assert gossip.is_table_reader(2)
-    gossip._take(News(Address("10.0.0.1", 1), "a", HostState(1, True, {}), []))
-    gossip._take(News(Address("10.0.0.2", 1), "a", HostState(1, False, {}), []))
-    gossip._take(News(Address("10.0.0.3", 1), "b", HostState(1, True, {}), []))
-    gossip._take(News(Address("10.0.0.9", 1), "a", HostState(1, True, {}), []))
+    gossip._receive(
+        PeerMessage(Address("10.0.0.1", 1), "a", HostState(1, True, {}), [])
+    )
+    gossip._receive(
+        PeerMessage(Address("10.0.0.2", 1), "a", HostState(1, False, {}), [])
+    )
+    gossip._receive(
+        PeerMessage(Address("10.0.0.3", 1), "b", HostState(1, True, {}), [])
+    )
+    gossip._receive(
+        PeerMessage(Address("10.0.0.9", 1), "a", HostState(1, True, {}), [])
+    )
     assert gossip.is_table_reader(2)
     assert not gossip.is_table_reader(1)
     assert gossip.near_count() == 3
-    gossip._take(News(Address("10.0.0.2", 1), "a", HostState(1, True, {}), []))
+    gossip._receive(
+        PeerMessage(Address("10.0.0.2", 1), "a", HostState(1, True, {}), [])
+    )
     assert not gossip.is_table_reader(2)
 
 
@@ -183,12 +197,20 @@
     """Guards against readers of failure domains that all wait, or all read."""
     gossip = build(Address("10.0.0.5", 1), [], None)
     assert gossip.is_first_reader()
-    gossip._take(News(Address("10.0.0.6", 1), "b", HostState(1, True, {}), []))
-    gossip._take(News(Address("10.0.0.7", 1), "b", HostState(1, True, {}), []))
-    gossip._take(News(Address("10.0.0.3", 1), "c", HostState(1, False, {}), []))
+    gossip._receive(
+        PeerMessage(Address("10.0.0.6", 1), "b", HostState(1, True, {}), [])
+    )
+    gossip._receive(
+        PeerMessage(Address("10.0.0.7", 1), "b", HostState(1, True, {}), [])
+    )
+    gossip._receive(
+        PeerMessage(Address("10.0.0.3", 1), "c", HostState(1, False, {}), [])
+    )
     assert gossip.is_first_reader()
     assert gossip.far_readers() == [Address("10.0.0.6", 1)]
-    gossip._take(News(Address("10.0.0.3", 1), "c", HostState(1, True, {}), []))
+    gossip._receive(
+        PeerMessage(Address("10.0.0.3", 1), "c", HostState(1, True, {}), [])
+    )
     assert not gossip.is_first_reader()
     assert set(gossip.far_readers()) == {Address("10.0.0.3", 1), Address("10.0.0.6", 1)}
 
@@ -198,8 +220,8 @@
     suspects = SuspectsReading(Position(4, 9), 0.1004)
     reading = TableReading(Position(4, 70), 3, 0.2504, suspects)
     state = HostState(3, True, {}, table_reading=reading)
-    data = News(Address("10.0.0.1", 1), "a", state, []).encode()
-    decoded = News.decode(data).state.table_reading
+    data = PeerMessage(Address("10.0.0.1", 1), "a", state, []).encode()
+    decoded = PeerMessage.decode(data).state.table_reading
     assert (decoded.position.era, decoded.position.offset, decoded.version) == (
         4,
         70,
@@ -237,10 +259,10 @@
         hosts = []
         for address, state in zip((first, other), states, strict=True):
             drawing = random.Random(1)
-            host = PeerNews(settings, address, "a", [first], SYSTEM_CLOCK, drawing)
+            host = PeerGossip(settings, address, "a", [first], SYSTEM_CLOCK, drawing)
             host.describe = lambda state=state: state
             hosts.append(host)
-        hosts[1].take_reading = take
+        hosts[1].on_reading = take
         tasks = [await curio.spawn(host.run) for host in hosts]
         await until(lambda: len(received) >= 4)
         for task in tasks:
@@ -255,7 +277,7 @@
     gossip = build(Address("10.0.0.1", 1), [], None)
     for number in range(300):
         sender = Address(f"10.0.{number // 250 + 1}.{number % 250}", 1)
-        gossip._take(News(sender, "a", HostState(1, True, {}), []))
+        gossip._receive(PeerMessage(sender, "a", HostState(1, True, {}), []))
     assert len(gossip._sample_peers()) == SETTINGS.peers_told_count
 
 
@@ -269,7 +291,7 @@
     gossip = build(Address("10.0.0.1", 1), [], None, clock=clock)
     for number in range(300):
         sender = Address(f"10.0.{number // 250 + 1}.{number % 250}", 1)
-        gossip._take(News(sender, "a", HostState(4, True, {"i-1": 1}), []))
+        gossip._receive(PeerMessage(sender, "a", HostState(4, True, {"i-1": 1}), []))
     assert not gossip.has_fresh_loads()
     clock.advance(SETTINGS.fresh_limit_s + 0.01)
     assert gossip.newest_version() == 4
@@ -295,7 +317,9 @@
         gossip = build(Address("10.0.0.1", 1), [], HostState(1, True, {}))
         for host in others:
             domain = "a" if host in near else "b"
-            gossip._take(News(Address(host, 1), domain, HostState(1, True, {}), []))
+            gossip._receive(
+                PeerMessage(Address(host, 1), domain, HostState(1, True, {}), [])
+            )
         sent = []
         for count in (1, 2):
             gossip.describe = lambda count=count: HostState(1, True, {"i-1": count})
@@ -319,7 +343,7 @@
     assert gossip.fleet_count() is None
     clock.advance(SETTINGS.fleet_settle_s)
     assert gossip.fleet_count() is None
-    gossip._take(News(others[0], "a", HostState(5, True, {}), others))
+    gossip._receive(PeerMessage(others[0], "a", HostState(5, True, {}), others))
     assert gossip.fleet_count() == 4
     clock.advance(SETTINGS.forget_after_s)
     gossip._forget_silent_peers()
@@ -346,12 +370,12 @@
         ("10.0.0.8", "a", 40.0),
         ("10.0.0.1", "b", 200.0),
     ]:
-        gossip._take(News(Address(host, 1), domain, state, [], link_mbps))
-    assert not gossip.is_among_first(1)
-    assert gossip.is_among_first(2)
-    assert gossip.heard_domains() == {"a", "b"}
+        gossip._receive(PeerMessage(Address(host, 1), domain, state, [], link_mbps))
+    assert not gossip.is_preferred_host(1)
+    assert gossip.is_preferred_host(2)
+    assert gossip.reachable_domains() == {"a", "b"}
     clock.advance(SETTINGS.fresh_limit_s + 1.0)
-    assert gossip.is_among_first(1)
+    assert gossip.is_preferred_host(1)
 
 
 def test_failure_domain_stays_reachable_when_two_sums_are_lost():
@@ -362,11 +386,11 @@
     clock = ManualClock()
     gossip = build(Address("10.0.0.5", 1), [], HostState(1, True, {}), clock=clock)
     state = HostState(1, True, {})
-    gossip._take(News(Address("10.0.1.1", 1), "b", state, [], 200.0))
+    gossip._receive(PeerMessage(Address("10.0.1.1", 1), "b", state, [], 200.0))
     clock.advance(3 * SETTINGS.quiet_interval_s)
-    assert gossip.heard_domains() == {"b"}
+    assert gossip.reachable_domains() == {"b"}
     clock.advance(SETTINGS.domain_memory_s)
-    assert gossip.heard_domains() == set()
+    assert gossip.reachable_domains() == set()
 
 
 def test_newest_pass_time_expires():
@@ -376,7 +400,9 @@
     for port, pass_s in ((1, 0.05), (2, 0.12)):
         state = HostState(1, True, {}, passes_s={"g": pass_s})
         sender = Address("10.0.0.1", port)
-        gossip._take(News.decode(News(sender, "a", state, []).encode()))
+        gossip._receive(
+            PeerMessage.decode(PeerMessage(sender, "a", state, []).encode())
+        )
         clock.advance(0.1)
     assert gossip.newest_pass("g")[0] == 0.12
     assert gossip.newest_pass("h") is None
@@ -393,23 +419,25 @@
     clock = ManualClock()
     own_state = HostState(1, False, {})
     gossip = build(Address("10.0.0.5", 1), [], own_state, clock=clock)
-    gossip._take(News(Address("10.0.0.1", 1), "a", own_state, []))
-    assert not gossip.is_among_first(1)
+    gossip._receive(PeerMessage(Address("10.0.0.1", 1), "a", own_state, []))
+    assert not gossip.is_preferred_host(1)
     gossip.describe = lambda: HostState(1, True, {})
-    assert gossip.is_among_first(1)
+    assert gossip.is_preferred_host(1)
 
 
 def suspects(count):
     """Return statements on requests under which targets have ended."""
-    ends = [EndStatement(f"{number:08x}", 1.5, number > 6) for number in range(8)]
+    ends = [CrashStatement(f"{number:08x}", 1.5, number > 6) for number in range(8)]
     return [SuspectStatement(f"{number:024x}", ends) for number in range(count)]
 
 
 def test_suspected_requests_round_trip():
     """A decoded message holds the suspected requests that were encoded."""
     address = Address("10.0.0.1", 1)
-    message = News(address, "a", HostState(1, True, {}), [], suspects=suspects(3))
-    read = News.decode(message.encode())
+    message = PeerMessage(
+        address, "a", HostState(1, True, {}), [], suspects=suspects(3)
+    )
+    read = PeerMessage.decode(message.encode())
     assert [one.key() for one in read.suspects] == [one.key() for one in suspects(3)]
 
 
@@ -422,11 +450,11 @@
     counts = {f"i-{number:010x}@1781159968551": 12 for number in range(192)}
     state = HostState(1, True, counts)
     address = Address("10.0.0.1", 1)
-    message = News(address, "a", state, [], suspects=suspects(16))
-    limit_bytes = PeerNewsSettings().size_limit_bytes
+    message = PeerMessage(address, "a", state, [], suspects=suspects(16))
+    limit_bytes = PeerGossipSettings().size_limit_bytes
     data = message.encode(limit_bytes)
     assert len(message.encode()) > limit_bytes >= len(data)
-    read = News.decode(data)
+    read = PeerMessage.decode(data)
     assert read.state.counts == counts
     first = [one.key() for one in suspects(16)]
     assert read.suspects
@@ -436,10 +464,10 @@
 @pytest.mark.parametrize("value", [[], 7, {"5f0c": 7}, {"5f0c": [["a", "b"]]}, "x"])
 def test_unreadable_suspected_requests_raise_protocol_error(value):
     """A message of another program version must not end the receiving task."""
-    message = News(Address("10.0.0.1", 1), "a", HostState(1, True, {}), [])
+    message = PeerMessage(Address("10.0.0.1", 1), "a", HostState(1, True, {}), [])
     document = json.loads(message.encode()) | {"suspects": value}
     with pytest.raises(ProtocolError):
-        News.decode(json.dumps(document).encode())
+        PeerMessage.decode(json.dumps(document).encode())
 
 
 @pytest.mark.parametrize("teller", [0, 2, 5])
@@ -449,7 +477,7 @@
     In a large fleet each host sends to those of its own domain only, and the first host
     of a domain to one host of each other one.  Any host may observe the ends.
     """
-    crowd = PeerNewsSettings(
+    crowd = PeerGossipSettings(
         interval_s=0.01,
         quiet_interval_s=0.05,
         far_interval_s=60.0,
@@ -462,7 +490,7 @@
         addresses = free_addresses(6)
         hosts = []
         for number, address in enumerate(addresses):
-            gossip = PeerNews(
+            gossip = PeerGossip(
                 crowd,
                 address,
                 "ab"[number % 2],
@@ -476,8 +504,8 @@
         tasks = [await curio.spawn(host.run) for host in hosts]
         await until(lambda: all(len(host._peers) == 5 for host in hosts))
         for number in range(3):
-            await hosts[teller].poison.target_ended("5f0c", f"i-{number}")
-        await until(lambda: all(host.poison.kept_off_until("5f0c") for host in hosts))
+            await hosts[teller].poison.target_crashed("5f0c", f"i-{number}")
+        await until(lambda: all(host.poison.blocked_until("5f0c") for host in hosts))
         for task in tasks:
             await task.cancel()
 
@@ -503,7 +531,9 @@
 def test_limits_of_targets_round_trip():
     """A decoded message holds the limits, and the demand at the sender."""
     state = HostState(1, True, {}, limits=limits(2), asked_rates={"app": 12.5})
-    decoded = News.decode(News(Address("10.0.0.1", 1), "a", state, []).encode())
+    decoded = PeerMessage.decode(
+        PeerMessage(Address("10.0.0.1", 1), "a", state, []).encode()
+    )
     assert limit_rows(decoded.state) == limit_rows(state)
     assert decoded.state.asked_rates == {"app": 12.5}
 
@@ -518,23 +548,25 @@
         leaving=[LeavingStatement("i-2", 0.5)],
         cold=[ColdStatement("i-3", 3.5)],
     )
-    decoded = News.decode(News(Address("10.0.0.1", 1), "a", state, []).encode())
+    decoded = PeerMessage.decode(
+        PeerMessage(Address("10.0.0.1", 1), "a", state, []).encode()
+    )
     [backoff] = decoded.state.backoffs
     assert (backoff.instance_id, backoff.left_s) == ("i-1", 2.75)
     [leaving] = decoded.state.leaving
     assert (leaving.instance_id, leaving.age_s) == ("i-2", 0.5)
     [cold] = decoded.state.cold
     assert (cold.instance_id, cold.left_s) == ("i-3", 3.5)
-    assert not decoded.state.looks_like(HostState(1, True, {}))
+    assert not decoded.state.is_equivalent_to(HostState(1, True, {}))
 
 
 def test_oversized_message_leaves_limits_out():
     """Guards against a host that all others lose once many targets state a limit."""
     counts = {f"i-{number:010}": 1 for number in range(420)}
     state = HostState(1, True, counts, limits=limits(48))
-    data = News(Address("10.0.0.1", 1), "a", state, []).encode(8192)
+    data = PeerMessage(Address("10.0.0.1", 1), "a", state, []).encode(8192)
     assert len(data) <= 8192
-    assert 0 < len(News.decode(data).state.limits) < 48
+    assert 0 < len(PeerMessage.decode(data).state.limits) < 48
 
 
 def test_oversized_message_keeps_leaving_targets_longest():
@@ -551,9 +583,9 @@
         backoffs=[BackoffStatement(f"i-{number}", 1.0) for number in range(32)],
         leaving=[LeavingStatement(f"i-{number}", 1.0) for number in range(32)],
     )
-    data = News(Address("10.0.0.1", 1), "a", state, []).encode(8192)
+    data = PeerMessage(Address("10.0.0.1", 1), "a", state, []).encode(8192)
     assert len(data) <= 8192
-    decoded = News.decode(data).state
+    decoded = PeerMessage.decode(data).state
     assert (decoded.limits, len(decoded.leaving)) == ([], 32)
 
 
@@ -578,10 +610,10 @@
 )
 def test_unreadable_fields_raise_protocol_error(fields):
     """Guards against a receiving task that ends on a malformed datagram."""
-    message = News(Address("10.0.0.1", 1), "a", HostState(1, True, {}), [])
+    message = PeerMessage(Address("10.0.0.1", 1), "a", HostState(1, True, {}), [])
     document = json.loads(message.encode()) | fields
     with pytest.raises(ProtocolError):
-        News.decode(json.dumps(document).encode())
+        PeerMessage.decode(json.dumps(document).encode())
 
 
 def test_rates_of_other_domains_are_counted_as_sums():
@@ -589,11 +621,11 @@
     clock = ManualClock()
     gossip = build(Address("10.0.0.1", 1), [], HostState(1, True, {}), clock=clock)
     near = HostState(1, True, {}, asked_rates={"app": 2.0})
-    gossip._take(News(Address("10.0.0.2", 1), "a", near, []))
+    gossip._receive(PeerMessage(Address("10.0.0.2", 1), "a", near, []))
     far = HostState(1, True, {}, asked_rates={"app": 7.0}, is_domain_sum=True)
-    gossip._take(News(Address("10.0.1.1", 1), "b", far, []))
+    gossip._receive(PeerMessage(Address("10.0.1.1", 1), "b", far, []))
     part = HostState(1, True, {}, asked_rates={"app": 3.0})
-    gossip._take(News(Address("10.0.1.2", 1), "b", part, []))
+    gossip._receive(PeerMessage(Address("10.0.1.2", 1), "b", part, []))
     assert gossip.asked_per_s("app") == 9.0
     assert gossip.asked_per_s("other") == 0.0
     own = HostState(1, True, {}, asked_rates={"app": 1.0})
@@ -611,7 +643,9 @@
         for other in addresses:
             if other != host._address:
                 host._add(other)
-    orders = [tuple(one.turn_of(f"i-{n}") for one in hosts) for n in range(8)]
+    orders = [
+        tuple(one.rendezvous_position(f"i-{n}") for one in hosts) for n in range(8)
+    ]
     assert all(sorted(order) == [0, 1, 2, 3, 4] for order in orders)
     assert len(set(orders)) > 1
 
@@ -640,7 +674,7 @@
         one = build(addresses[0], [addresses[1]], state, "a")
         two = build(addresses[1], [], HostState(1, True, {}), "b")
         received = []
-        two.take_outages = lambda statements, told_by: received.append(
+        two.on_outages = lambda statements, told_by: received.append(
             (rows_of(statements), told_by)
         )
         tasks = [await curio.spawn(host.run) for host in (one, two)]
@@ -665,9 +699,9 @@
         for number in range(500)
     ]
     state = HostState(1, True, {}, group_outages=statements)
-    data = News(Address("127.0.0.1", 1), "a", state, []).encode()
+    data = PeerMessage(Address("127.0.0.1", 1), "a", state, []).encode()
     assert len(data) < 2048
-    decoded = News.decode(data).state.group_outages
+    decoded = PeerMessage.decode(data).state.group_outages
     assert rows_of(decoded) == rows_of(statements[: len(decoded)])
 
 
@@ -689,7 +723,7 @@
     def tell(sender, state):
         for host in hosts:
             if host._address != sender:
-                host._take(News(sender, "a", state, []))
+                host._receive(PeerMessage(sender, "a", state, []))
 
     def successors():
         return [host._address for host in hosts if host.is_heir_of("g", 3)]
@@ -716,9 +750,9 @@
         for number, one in enumerate(targets)
     }
     state = HostState(1, True, dict.fromkeys(targets, 12), speeds=speeds)
-    data = News(Address("10.0.0.1", 1), "a", state, []).encode(8192)
+    data = PeerMessage(Address("10.0.0.1", 1), "a", state, []).encode(8192)
     assert len(data) <= 8192
-    decoded = News.decode(data).state.speeds
+    decoded = PeerMessage.decode(data).state.speeds
     assert set(decoded) <= set(targets[-SPEEDS_LIMIT:])
 
 
@@ -726,7 +760,7 @@
 def test_unreadable_speeds_raise_protocol_error(rows):
     """A malformed datagram must not end the receiving task."""
     state = HostState(1, True, {})
-    document = json.loads(News(Address("10.0.0.1", 1), "a", state, []).encode())
+    document = json.loads(PeerMessage(Address("10.0.0.1", 1), "a", state, []).encode())
     document["speeds"] = rows
     with pytest.raises(ProtocolError):
-        News.decode(json.dumps(document).encode())
+        PeerMessage.decode(json.dumps(document).encode())
--- a/siskinthread/peer_news/tests/test_silent_domains.py
+++ b/siskinthread/peer_news/tests/test_silent_domains.py
@@ -2,11 +2,16 @@
 
 import random
 
-from siskinthread.peer_news import HostState, News, PeerNews, PeerNewsSettings
+from siskinthread.peer_news import (
+    HostState,
+    PeerGossip,
+    PeerGossipSettings,
+    PeerMessage,
+)
 from siskinthread.settings import Address
 from siskinthread.timing import ManualClock
 
-SETTINGS = PeerNewsSettings()
+SETTINGS = PeerGossipSettings()
 
 
 class Receiver:
@@ -14,7 +19,7 @@
 
     def __init__(self):
         self.clock = ManualClock()
-        self.gossip = PeerNews(
+        self.gossip = PeerGossip(
             SETTINGS, Address("10.0.0.1", 1), "a", [], self.clock, random.Random(1)
         )
 
@@ -22,7 +27,9 @@
         """Receive the message of one host."""
         rates = {"app": rate_per_s}
         state = HostState(1, True, {}, asked_rates=rates, is_domain_sum=is_sum)
-        self.gossip._take(News(Address("10.0.0.1", number), domain, state, []))
+        self.gossip._receive(
+            PeerMessage(Address("10.0.0.1", number), domain, state, [])
+        )
 
     def demand(self):
         """Return the demand of the fresh peers and of the silent domains."""
--- a/siskinthread/peer_news/tests/test_summary.py
+++ b/siskinthread/peer_news/tests/test_summary.py
@@ -7,12 +7,17 @@
 from hypothesis import given, settings as hypothesis_settings, strategies as st
 
 from siskinthread.load_control import SpeedStatement
-from siskinthread.peer_news import HostState, News, PeerNews, PeerNewsSettings
+from siskinthread.peer_news import (
+    HostState,
+    PeerGossip,
+    PeerGossipSettings,
+    PeerMessage,
+)
 from siskinthread.peer_news._summary import NearSums
 from siskinthread.settings import Address
 from siskinthread.timing import ManualClock
 
-SETTINGS = PeerNewsSettings()
+SETTINGS = PeerGossipSettings()
 TARGETS = ("i-1", "i-2", "i-3")
 PEERS = [Address(f"10.0.0.{number}", 1) for number in range(1, 6)]
 
@@ -45,14 +50,16 @@
     draw = random.Random(seed)
     clock = ManualClock()
     own = Address("10.0.0.9", 1)
-    gossip = PeerNews(SETTINGS, own, "a", [], clock, draw)
+    gossip = PeerGossip(SETTINGS, own, "a", [], clock, draw)
     for _ in range(40):
         clock.advance(draw.choice([0.0, 0.1, 0.7, 1.6]))
         if draw.random() < 0.7:
             counts = {one: draw.randint(1, 4) for one in TARGETS if draw.random() < 0.5}
             groups = [one for one in ("g", "h") if draw.random() < 0.2]
             state = HostState(draw.randint(1, 9), True, counts, None, groups)
-            gossip._take(News(draw.choice(PEERS), draw.choice("ab"), state, []))
+            gossip._receive(
+                PeerMessage(draw.choice(PEERS), draw.choice("ab"), state, [])
+            )
         else:
             gossip._forget_silent_peers()
         for one in TARGETS:
@@ -71,7 +78,7 @@
 def receive_sum(gossip, sender, domain, counts):
     """Receive the sum of another failure domain."""
     state = HostState(3, True, {}).with_domain_sums(near_sums(counts, ["g"]))
-    gossip._take(News.decode(News(sender, domain, state, []).encode()))
+    gossip._receive(PeerMessage.decode(PeerMessage(sender, domain, state, []).encode()))
 
 
 def test_requests_that_are_part_of_a_sum_count_once():
@@ -80,12 +87,12 @@
     A host sends its own state, and the first host of its domain sends the sum.
     """
     clock = ManualClock()
-    gossip = PeerNews(
+    gossip = PeerGossip(
         SETTINGS, Address("10.0.0.9", 1), "a", [], clock, random.Random(1)
     )
     first, second, near = PEERS[:3]
-    gossip._take(News(second, "b", HostState(3, True, {"i-1": 2}), []))
-    gossip._take(News(near, "a", HostState(3, True, {"i-1": 5}), []))
+    gossip._receive(PeerMessage(second, "b", HostState(3, True, {"i-1": 2}), []))
+    gossip._receive(PeerMessage(near, "a", HostState(3, True, {"i-1": 5}), []))
     assert gossip.counts("i-1") == 7
     receive_sum(gossip, first, "b", {"i-1": 3})
     assert gossip.counts("i-1") == 8
@@ -103,11 +110,11 @@
     sent the own sum; afterwards only the host that sent it.
     """
     clock = ManualClock()
-    gossip = PeerNews(
+    gossip = PeerGossip(
         SETTINGS, Address("10.0.0.9", 1), "a", [], clock, random.Random(1)
     )
     for peer in PEERS:
-        gossip._take(News(peer, "b", HostState(3, True, {}), []))
+        gossip._receive(PeerMessage(peer, "b", HostState(3, True, {}), []))
     assert gossip._representatives() == set(PEERS)
     receive_sum(gossip, PEERS[0], "b", {})
     assert gossip._representatives() == {PEERS[0]}
@@ -136,12 +143,12 @@
     async def main():
         clock = ManualClock()
         own = Address("10.0.0.1", 1)
-        gossip = PeerNews(SETTINGS, own, "a", [], clock, random.Random(1))
+        gossip = PeerGossip(SETTINGS, own, "a", [], clock, random.Random(1))
         gossip._socket = RecordingSocket()
         near, far = Address("10.0.0.5", 1), Address("10.0.1.1", 1)
-        gossip._take(News(near, "a", HostState(3, True, {}), []))
+        gossip._receive(PeerMessage(near, "a", HostState(3, True, {}), []))
         state = HostState(3, True, {}).with_domain_sums(near_sums({"i-1": 1}))
-        message = News(far, "b", state, [])
+        message = PeerMessage(far, "b", state, [])
         await gossip._forward_sum(message, message.encode(), (near.host, near.port))
         indirect = list(gossip._socket.sent)
         await gossip._forward_sum(message, message.encode(), (far.host, far.port))
@@ -161,14 +168,14 @@
     async def main():
         clock = ManualClock()
         own = Address("10.0.0.1", 1)
-        gossip = PeerNews(SETTINGS, own, "a", [], clock, random.Random(1))
+        gossip = PeerGossip(SETTINGS, own, "a", [], clock, random.Random(1))
         gossip.describe = lambda: HostState(3, True, {})
         hosts = [
             Address(f"10.0.0.{number}", 1)
             for number in range(2, SETTINGS.peers_at_full_rate + 4)
         ]
         for host in hosts:
-            gossip._take(News(host, "a", HostState(3, True, {}), []))
+            gossip._receive(PeerMessage(host, "a", HostState(3, True, {}), []))
         clock.advance(3.0)
         gossip._socket = RecordingSocket()
         await gossip._run_round()
@@ -186,15 +193,17 @@
     state = HostState(3, True, {}, slow_targets=["i-1"]).with_domain_sums(
         near_sums({}, slow_targets=["i-7"])
     )
-    message = News.decode(News(Address("10.0.0.5", 1), "a", state, []).encode())
+    message = PeerMessage.decode(
+        PeerMessage(Address("10.0.0.5", 1), "a", state, []).encode()
+    )
     assert message.state.slow_targets == ["i-1", "i-7"]
 
 
 def test_slow_target_is_sent_at_once():
     """A new slow target is sent at once, as a change of the load is."""
     before, after = HostState(3, True, {}), HostState(3, True, {}, slow_targets=["i"])
-    assert not after.looks_like(before)
-    assert after.looks_like(HostState(3, True, {}, slow_targets=["i"]))
+    assert not after.is_equivalent_to(before)
+    assert after.is_equivalent_to(HostState(3, True, {}, slow_targets=["i"]))
 
 
 def roster_of(first_peers, *messages, clock=None):
@@ -204,10 +213,10 @@
     """
     clock = ManualClock() if clock is None else clock
     own = Address("10.0.0.1", 1)
-    gossip = PeerNews(SETTINGS, own, "a", first_peers, clock, random.Random(1))
+    gossip = PeerGossip(SETTINGS, own, "a", first_peers, clock, random.Random(1))
     for host, names, roster_count in messages:
         state = HostState(3, True, {})
-        gossip._take(News(host, "a", state, names, roster_count=roster_count))
+        gossip._receive(PeerMessage(host, "a", state, names, roster_count=roster_count))
     return gossip
 
 
@@ -224,11 +233,11 @@
     clock = ManualClock()
     first, second = hosts(2)
     gossip = roster_of([first], (first, [second], 3), clock=clock)
-    place = gossip.roster_place("i-1")
+    place = gossip.roster_position("i-1")
     clock.advance(SETTINGS.forget_after_s + 1)
     gossip._forget_silent_peers()
-    assert not gossip.hears_others()
-    assert (gossip.roster_count(), gossip.roster_place("i-1")) == (3, place)
+    assert not gossip.has_peers()
+    assert (gossip.roster_count(), gossip.roster_position("i-1")) == (3, place)
 
 
 @pytest.mark.parametrize(
@@ -265,19 +274,19 @@
     gossip = roster_of([host], (host, [], 2), clock=clock)
     clock.advance(SETTINGS.fleet_settle_s)
     assert gossip.is_roster_known()
-    gossip._take(News(host, "a", HostState(3, True, {}), [], roster_count=40))
+    gossip._receive(PeerMessage(host, "a", HostState(3, True, {}), [], roster_count=40))
     assert gossip.is_roster_known()
 
 
 def test_tokens_of_large_requests_reach_other_hosts():
     """Guards against a target that looks free though others' large requests fill it."""
     clock = ManualClock()
-    gossip = PeerNews(
+    gossip = PeerGossip(
         SETTINGS, Address("10.0.0.9", 1), "a", [], clock, random.Random(1)
     )
     for peer, tokens in zip(PEERS, (3000, -800), strict=False):
         state = HostState(1, True, {"i-1": 1}, excess_tokens={"i-1": tokens})
-        gossip._take(News.decode(News(peer, "a", state, []).encode()))
+        gossip._receive(PeerMessage.decode(PeerMessage(peer, "a", state, []).encode()))
     assert gossip.excess_tokens() == {"i-1": 2200}
 
 
@@ -286,25 +295,25 @@
 
     The sum of a domain includes what its hosts have sent.
     """
-    gossip = PeerNews(SETTINGS, Address("10.0.0.9", 1), "a", [], ManualClock(), None)
+    gossip = PeerGossip(SETTINGS, Address("10.0.0.9", 1), "a", [], ManualClock(), None)
     slow = {"i-1": SpeedStatement(2.0, 5.0, age_s=0.1)}
     near = HostState(3, True, {}, speeds=slow)
     for host in PEERS[:2]:
-        gossip._take(News(host, "a", near, []))
+        gossip._receive(PeerMessage(host, "a", near, []))
     state = HostState(3, True, {}, speeds=slow).with_domain_sums(gossip._summary().near)
     assert state.speeds["i-1"].low_weight == 6.0
-    far = News.decode(News(PEERS[2], "b", state, []).encode())
-    gossip._take(far)
-    gossip._take(News(PEERS[3], "b", near, []))
+    far = PeerMessage.decode(PeerMessage(PEERS[2], "b", state, []).encode())
+    gossip._receive(far)
+    gossip._receive(PeerMessage(PEERS[3], "b", near, []))
     assert gossip.speeds()["i-1"].low_weight == pytest.approx(4.0 + 6.0)
 
 
 def test_speeds_lose_weight_with_their_age():
     """Guards against reports of a second ago that outweigh newer samples."""
     clock = ManualClock()
-    gossip = PeerNews(SETTINGS, Address("10.0.0.9", 1), "a", [], clock, None)
+    gossip = PeerGossip(SETTINGS, Address("10.0.0.9", 1), "a", [], clock, None)
     slow = {"i-1": SpeedStatement(2.0, 5.0, age_s=0.1)}
-    gossip._take(News(PEERS[0], "a", HostState(3, True, {}, speeds=slow), []))
+    gossip._receive(PeerMessage(PEERS[0], "a", HostState(3, True, {}, speeds=slow), []))
     clock.advance(1.0)
     speed = gossip.speeds()["i-1"]
     assert speed.low_weight < 0.3
--- a/siskinthread/platform/_daemon.py
+++ b/siskinthread/platform/_daemon.py
@@ -10,7 +10,7 @@
 from siskinthread.errors import SettingsError
 from siskinthread.gateway import Gateway
 from siskinthread.observability import Metrics, part_logger, set_up_logging
-from siskinthread.peer_news import PeerNews
+from siskinthread.peer_news import PeerGossip
 from siskinthread.platform._group_control import GroupControl
 from siskinthread.platform._host_settings import (
     read_host_settings,
@@ -104,7 +104,7 @@
             random.Random(),
             eras,
         )
-        peers = PeerNews(
+        peers = PeerGossip(
             tuning.peer_news,
             settings.peer_address,
             settings.failure_domain,
@@ -113,7 +113,7 @@
             random.Random(),
         )
         peers.link_mbps = settings.link_mbps or 0.0
-        self._gateway.hear_peers(
+        self._gateway.attach_peers(
             peers, self._fetch_snapshot, self._fetch_table, self._fetch_targets
         )
         self._reader_pages = ReaderPages(
@@ -123,7 +123,7 @@
             tuning.gateway.hand_out_bytes_s,
             SYSTEM_CLOCK,
         )
-        self._gateway.keep_suspects(StoredSuspects(store, SYSTEM_CLOCK))
+        self._gateway.persist_suspects(StoredSuspects(store, SYSTEM_CLOCK))
         self._group_control = GroupControl(
             _with_link_rate(tuning.group_maps, settings),
             settings,
--- a/siskinthread/platform/_group_control.py
+++ b/siskinthread/platform/_group_control.py
@@ -159,7 +159,7 @@
             self._layout(entry),
             self._rank_calls,
             SYSTEM_CLOCK,
-            self._gateway.parts.note_other_answer,
+            self._gateway.parts.note_internal_answer,
             self._gateway.parts.outages.note_report,
         )
 
--- a/siskinthread/platform/_reader_pages.py
+++ b/siskinthread/platform/_reader_pages.py
@@ -10,7 +10,7 @@
 import zlib
 
 from siskinthread.errors import PlatformUnavailableError
-from siskinthread.gateway import STATUS_OK, StatusPage, ToldTable, ToldTargets
+from siskinthread.gateway import ServedTable, ServedTargets, STATUS_OK, StatusPage
 from siskinthread.platform._peer_documents import fetch_document
 from siskinthread.platform._sources import (
     CONFIGURATION_KEY,
@@ -146,7 +146,7 @@
 
 
 async def fetch_peer_table(address, wait_s):
-    """Return the `siskinthread.gateway.ToldTable` that a reader serves.
+    """Return the `siskinthread.gateway.ServedTable` that a reader serves.
 
     Parameters
     ----------
@@ -174,11 +174,11 @@
     tables = PublishedTables(None).apply([] if record is None else [record])
     if record is not None and not tables:
         raise PlatformUnavailableError("configuration from a peer is no route table")
-    return ToldTable(position, tables[0] if tables else None, record, evacuated)
+    return ServedTable(position, tables[0] if tables else None, record, evacuated)
 
 
 async def fetch_peer_targets(address, wait_s):
-    """Return the `siskinthread.gateway.ToldTargets` that a reader serves.
+    """Return the `siskinthread.gateway.ServedTargets` that a reader serves.
 
     Parameters
     ----------
@@ -203,7 +203,7 @@
         raise PlatformUnavailableError(text) from error
     listing = ListedTargets(None)
     listing.apply(records)
-    return ToldTargets(position, age_s, list(listing.listed.values()))
+    return ServedTargets(position, age_s, list(listing.listed.values()))
 
 
 def _read_position(document):
--- a/siskinthread/platform/_sources.py
+++ b/siskinthread/platform/_sources.py
@@ -63,7 +63,7 @@
         return self.apply(records), position
 
     def take_told(self, peer_table):
-        """Adopt the `siskinthread.gateway.ToldTable` of a peer as if it had been read.
+        """Adopt the `siskinthread.gateway.ServedTable` of a peer as if it were read.
 
         Later reads continue after its position.
         """
@@ -130,7 +130,7 @@
         return self.apply(records), position
 
     def take_told(self, peer_list):
-        """Adopt the `siskinthread.gateway.ToldTargets` of a peer as if read here."""
+        """Adopt the `siskinthread.gateway.ServedTargets` of a peer as if read here."""
         self.listed = {entry.listed_id: entry for entry in peer_list.entries}
 
     def apply(self, records):
--- a/siskinthread/platform/_stored_suspects.py
+++ b/siskinthread/platform/_stored_suspects.py
@@ -82,6 +82,6 @@
         except (DocumentError, ProtocolError, LookupError, TypeError, ValueError) as e:
             _logger.event("suspect record is unreadable", reason=repr(e)[:REASON_LIMIT])
             return None
-        for end in statement.ends:
+        for end in statement.crashes:
             end.age_s += passed_ms / MILLISECONDS_PER_SECOND
         return StoredChange(record.key, statement)
--- a/siskinthread/platform/_tuning.py
+++ b/siskinthread/platform/_tuning.py
@@ -3,7 +3,7 @@
 from siskinthread.gateway import GatewaySettings
 from siskinthread.group_maps import GroupMapSettings
 from siskinthread.observability import LoggingSettings
-from siskinthread.peer_news import PeerNewsSettings
+from siskinthread.peer_news import PeerGossipSettings
 from siskinthread.settings import Item, Section
 
 
@@ -12,5 +12,5 @@
 
     gateway = Item(GatewaySettings, description="Requests, targets and connections.")
     group_maps = Item(GroupMapSettings, description="Expert maps of model groups.")
-    peer_news = Item(PeerNewsSettings, description="Gossip between entry hosts.")
+    peer_news = Item(PeerGossipSettings, description="Gossip between entry hosts.")
     logging = Item(LoggingSettings, description="Logs.")
--- a/siskinthread/platform/tests/domains_fleet.py
+++ b/siskinthread/platform/tests/domains_fleet.py
@@ -11,7 +11,7 @@
 from siskinthread.gateway import Gateway, GatewaySettings
 from siskinthread.group_maps import GroupMapSettings
 from siskinthread.observability import Metrics
-from siskinthread.peer_news import PeerNews, PeerNewsSettings
+from siskinthread.peer_news import PeerGossip, PeerGossipSettings
 from siskinthread.platform._group_control import GroupControl
 from siskinthread.platform._reader_pages import (
     CONFIGURATION_PATH,
@@ -60,7 +60,7 @@
         return await super()._call(name, method, target, *args, **fields)
 
 
-class CuttableGossip(PeerNews):
+class CuttableGossip(PeerGossip):
     """Gossip between entries that can be cut.
 
     Attributes
@@ -162,7 +162,7 @@
         )
         self.peers.is_cut = self.cut_from.__contains__
         self._join_gossip(tables, targets)
-        self.gateway.keep_suspects(StoredSuspects(store, SYSTEM_CLOCK))
+        self.gateway.persist_suspects(StoredSuspects(store, SYSTEM_CLOCK))
         self.gateway.view.listen(self._record_table)
         self.gateway.parts.evacuations.listen(self._record_evacuation)
         runs = self.gateway.tasks()
@@ -194,7 +194,9 @@
             TARGET_LIST_PATH: reader_pages.targets_page,
             SNAPSHOT_PATH: build_snapshot,
         }
-        self.gateway.hear_peers(self.peers, fetch_from_peer, fetch_table, fetch_targets)
+        self.gateway.attach_peers(
+            self.peers, fetch_from_peer, fetch_table, fetch_targets
+        )
 
     async def stop(self):
         """End the process; its state is lost."""
@@ -350,7 +352,7 @@
     """
     fleet = DomainsFleet(
         GatewaySettings() if settings is None else settings,
-        PeerNewsSettings() if gossip_settings is None else gossip_settings,
+        PeerGossipSettings() if gossip_settings is None else gossip_settings,
         has_groups,
         fields,
     )
--- a/siskinthread/platform/tests/fleet.py
+++ b/siskinthread/platform/tests/fleet.py
@@ -7,7 +7,7 @@
 
 from siskinthread.gateway import Gateway, GatewaySettings
 from siskinthread.observability import Metrics
-from siskinthread.peer_news import PeerNews, PeerNewsSettings
+from siskinthread.peer_news import PeerGossip, PeerGossipSettings
 from siskinthread.platform._sources import ListedTargets, PublishedTables
 from siskinthread.platform._store import StoreClient
 from siskinthread.platform._stored_suspects import StoredSuspects
@@ -55,7 +55,7 @@
     # No pause, so that the limit of ends is reached within a test.
     poison=PoisonSettings(pause_s=0.0),
 )
-GOSSIP_SETTINGS = PeerNewsSettings(interval_s=0.02, quiet_interval_s=0.1)
+GOSSIP_SETTINGS = PeerGossipSettings(interval_s=0.02, quiet_interval_s=0.1)
 
 
 async def serve_or_end(server, request, client):
@@ -122,7 +122,7 @@
             self._random,
             eras,
         )
-        peers = PeerNews(
+        peers = PeerGossip(
             self._fleet.gossip_settings,
             self.gossip_address,
             "a",
@@ -130,9 +130,9 @@
             SYSTEM_CLOCK,
             self._random,
         )
-        self.gateway.hear_peers(peers, fetch_peer_snapshot)
+        self.gateway.attach_peers(peers, fetch_peer_snapshot)
         suspects = StoreClient(self.suspects_address, STORE_WAIT_S, calls, eras)
-        self.gateway.keep_suspects(StoredSuspects(suspects, SYSTEM_CLOCK))
+        self.gateway.persist_suspects(StoredSuspects(suspects, SYSTEM_CLOCK))
         listening = curio.tcp_server_socket(LOOPBACK, 0)
         self.address = listening.getsockname()
         runs = [*self.gateway.tasks().values()]
--- a/siskinthread/platform/tests/system.py
+++ b/siskinthread/platform/tests/system.py
@@ -97,7 +97,7 @@
         self.informed = []
         self.serving = []
         self.describe = None
-        self.take_listing = None
+        self.on_listing = None
         self.reader = True
         self.state = None
 
@@ -124,10 +124,10 @@
         """Return True: there is no other failure domain."""
         return True
 
-    async def tell_far_readers(self, listing):
+    async def send_listing(self, listing):
         """Send nothing."""
 
-    async def tell_domain(self):
+    async def send_to_domain(self):
         """Send nothing."""
 
     def fleet_count(self):
@@ -158,11 +158,11 @@
         """Return False: no peer has sent its loads."""
         return False
 
-    def sharing_count(self):
+    def full_rate_peer_count(self):
         """Return 0: there is no other entry."""
         return 0
 
-    def told_interval_s(self):
+    def send_interval_s(self):
         """Return the interval between two messages of a peer, seconds."""
         return 0.5
 
@@ -178,11 +178,11 @@
         """Return 0: no failure domain is silent."""
         return 0.0
 
-    def hears_others(self):
+    def has_peers(self):
         """Return True: other hosts are known."""
         return True
 
-    def turn_of(self, name):
+    def rendezvous_position(self, name):
         """Return 0: this host comes first."""
         return 0
 
@@ -388,7 +388,7 @@
         random.Random(1),
         eras,
     )
-    system.gateway.hear_peers(system.peers, fetch_peer_snapshot)
+    system.gateway.attach_peers(system.peers, fetch_peer_snapshot)
     listening = curio.tcp_server_socket("127.0.0.1", 0)
     status = curio.tcp_server_socket("127.0.0.1", 0)
     system.address = listening.getsockname()
--- a/siskinthread/platform/tests/test_crashing_requests.py
+++ b/siskinthread/platform/tests/test_crashing_requests.py
@@ -114,7 +114,7 @@
 def knows(entry):
     """Return whether an entry holds some request back from targets."""
     register = entry.gateway.parts.poison
-    return any(register.kept_off_until(name) for name in register._suspects)
+    return any(register.blocked_until(name) for name in register._suspects)
 
 
 def test_entries_that_all_start_again_still_know_the_request():
--- a/siskinthread/platform/tests/test_faults.py
+++ b/siskinthread/platform/tests/test_faults.py
@@ -269,6 +269,6 @@
         statuses = []
         for _ in range(3):
             statuses.append(status_of(await system.request(SAFE_PATH)))
-        return statuses, health.is_passed_over(server.instance_id)
+        return statuses, health.is_ejected(server.instance_id)
 
     assert run_system(test, server_count=1) == ([200, 200, 200], False)
--- a/siskinthread/platform/tests/test_restored_store.py
+++ b/siskinthread/platform/tests/test_restored_store.py
@@ -28,7 +28,7 @@
 )
 from siskinthread.platform.tests.test_outages import page_of, peer_handler
 from siskinthread.poison_requests import PoisonSettings
-from siskinthread.poison_requests._write_turns import MATTER
+from siskinthread.poison_requests._write_turns import ORDER_NAME
 from siskinthread.settings import Address
 from standins._http_server import HttpServer
 
@@ -355,7 +355,10 @@
 def first_in_order(fleet):
     """Return the first running entry in the rendezvous order."""
     left = fleet.entries[1:]
-    return min(left, key=lambda one: one.gateway.control_home.peers.turn_of(MATTER))
+    return min(
+        left,
+        key=lambda one: one.gateway.control_home.peers.rendezvous_position(ORDER_NAME),
+    )
 
 
 def test_lost_record_is_written_once_though_the_first_host_is_gone():
--- a/siskinthread/platform/tests/test_spared_reads.py
+++ b/siskinthread/platform/tests/test_spared_reads.py
@@ -43,7 +43,7 @@
 
     def are_spared(self):
         """Return whether all hosts that are not readers are spared their reads."""
-        return all(_follower(one).is_spared() for one in self.others)
+        return all(_follower(one).may_skip_reads() for one in self.others)
 
     async def change_and_evacuate(self, entries):
         """Publish, and evacuate a domain; return the seconds until each is known."""
@@ -295,6 +295,6 @@
         async with running_fleet("aab") as fleet:
             await until(lambda: all(one.version == 1 for one in fleet.entries))
             await curio.sleep(2.0)
-            assert not any(_follower(one).is_spared() for one in fleet.entries)
+            assert not any(_follower(one).may_skip_reads() for one in fleet.entries)
 
     curio.run(main)
--- a/siskinthread/platform/tests/test_stored_suspects.py
+++ b/siskinthread/platform/tests/test_stored_suspects.py
@@ -55,11 +55,11 @@
     async def end_targets(self, fingerprint, *targets):
         """Note that targets have ended under a request."""
         for target in targets:
-            await self.register.target_ended(fingerprint, target)
+            await self.register.target_crashed(fingerprint, target)
 
     def is_kept_off(self, fingerprint):
         """Return whether a request is held back from targets."""
-        return self.register.kept_off_until(fingerprint) is not None
+        return self.register.blocked_until(fingerprint) is not None
 
 
 def run_hosts(test):
--- a/siskinthread/platform/tests/test_target_backoff.py
+++ b/siskinthread/platform/tests/test_target_backoff.py
@@ -145,7 +145,7 @@
         self._trigger(entry)
         return connection
 
-    async def give_back(self, entry, connection, rest_limit_s):
+    async def give_back(self, entry, connection, keep_alive_s):
         """Close a connection."""
         await connection.close()
 
@@ -171,7 +171,7 @@
                 if announcement == "backoff":
                     parts.backoffs.note_answer(entry, 0.0, StatedBackoff(3.0))
                 else:
-                    parts.targets.note_says_leaving(entry.instance_id)
+                    parts.targets.note_leaving_answer(entry.instance_id)
 
         parts.pool = SlowPool(parts.pool, announce)
         response = await system.request(SAFE_PATH)
--- a/siskinthread/poison_requests/__init__.py
+++ b/siskinthread/poison_requests/__init__.py
@@ -21,11 +21,11 @@
 from siskinthread.poison_requests._part_names import part_name
 from siskinthread.poison_requests._register import PoisonRegister
 from siskinthread.poison_requests._settings import PoisonSettings
-from siskinthread.poison_requests._statements import EndStatement, SuspectStatement
+from siskinthread.poison_requests._statements import CrashStatement, SuspectStatement
 from siskinthread.poison_requests._write_turns import WriteTurns
 
 __all__ = [
-    "EndStatement",
+    "CrashStatement",
     "PartGuard",
     "PoisonFollower",
     "PoisonRegister",
--- a/siskinthread/poison_requests/_following.py
+++ b/siskinthread/poison_requests/_following.py
@@ -49,14 +49,15 @@
     Attributes
     ----------
     readers : object or None
-        Other hosts that may read for this one: ``async rest()`` waits and returns True
-        while they do, ``note_read(position)`` and ``note_lost()`` get the result of a
-        read, ``is_to_ask_at_once()`` tells whether others wait for that result.
+        Other hosts that may read for this one: ``async wait_for_readers()`` waits and
+        returns True while they do, ``note_read(position)`` and ``note_lost()`` get the
+        result of a read, ``must_read_at_once()`` tells whether others wait for that
+        result.
     """
 
     __slots__ = (
         "_clock",
-        "_is_lost",
+        "_is_unavailable",
         "_position",
         "_register",
         "_settings",
@@ -79,14 +80,14 @@
         # Position up to which changes were applied; None until all were read.
         self._position = None
         self._is_loaded = curio.Event()
-        self._is_lost = False
+        self._is_unavailable = False
         self.readers = None
 
     async def read(self):
         """Read changes of the store, indefinitely."""
         while True:
-            may_rest = self.readers is not None and not self._is_lost
-            if may_rest and await self.readers.rest():
+            may_rest = self.readers is not None and not self._is_unavailable
+            if may_rest and await self.readers.wait_for_readers():
                 continue
             try:
                 changes, position = await self._read()
@@ -97,9 +98,9 @@
             except PositionExpiredError as error:
                 await self._note_expired(error)
                 continue
-            if self._is_lost:
+            if self._is_unavailable:
                 # The other hosts get an answer again at about the same time.
-                self._is_lost = False
+                self._is_unavailable = False
                 self._write_turn = None
             if not self._is_loaded.is_set():
                 # Some hosts may have got no answer for seconds.
@@ -118,7 +119,7 @@
                 continue
             due = self._register.due_writes(is_in_turn)
             # A store that this host can't read may already have everything.
-            if due and not (is_in_turn and self._is_lost):
+            if due and not (is_in_turn and self._is_unavailable):
                 await self._write(due)
             await curio.sleep(self._settings.store_pause_s)
 
@@ -200,9 +201,9 @@
         if self._position is None:
             return await self._source.read_all()
         # A store that has just failed must answer without waiting for a change.
-        is_urgent = self._is_lost
+        is_urgent = self._is_unavailable
         if self.readers is not None:
-            is_urgent |= self.readers.is_to_ask_at_once()
+            is_urgent |= self.readers.must_read_at_once()
         wait_s = 0.0 if is_urgent else self._settings.store_wait_s
         return await self._source.read_changes(self._position, wait_s)
 
@@ -223,9 +224,9 @@
             await self._register.note_stored(change.statement, STORE_SOURCE)
 
     def _note_unavailable(self, error):
-        if not self._is_lost:
+        if not self._is_unavailable:
             _logger.event("store of suspected requests lost", reason=str(error))
-        self._is_lost = True
+        self._is_unavailable = True
         if self.readers is not None:
             self.readers.note_lost()
 
--- a/siskinthread/poison_requests/_part_guard.py
+++ b/siskinthread/poison_requests/_part_guard.py
@@ -43,10 +43,10 @@
         The trial if the request is one; to be released at its end.
     """
 
-    __slots__ = ("kept_off_until", "part", "trial")
+    __slots__ = ("blocked_until", "part", "trial")
 
-    def __init__(self, kept_off_until=None, part="", trial=None):
-        self.kept_off_until = kept_off_until
+    def __init__(self, blocked_until=None, part="", trial=None):
+        self.blocked_until = blocked_until
         self.part = part
         self.trial = trial
 
@@ -68,7 +68,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Provides this host's position in an order that is the same on all hosts.
 
     Notes
@@ -137,7 +137,7 @@
         """Record the end of a trial, whatever its result."""
         self._under_trial -= trial.names
 
-    async def target_ended(self, names, instance_id, trial):
+    async def target_crashed(self, names, instance_id, trial):
         """Record that a target crashed during a request of this host.
 
         Parameters
@@ -228,6 +228,6 @@
         return Admission(trial=PartTrial(names))
 
     def _turn(self, part):
-        if self.peers is None or not self.peers.hears_others():
+        if self.peers is None or not self.peers.has_peers():
             return 0
-        return self.peers.turn_of(part)
+        return self.peers.rendezvous_position(part)
--- a/siskinthread/poison_requests/_register.py
+++ b/siskinthread/poison_requests/_register.py
@@ -69,14 +69,14 @@
         self.change_count = 0
         self.is_write_due = curio.Event()
 
-    def kept_off_until(self, fingerprint):
+    def blocked_until(self, fingerprint):
         """Return the `Deadline` until which a request is blocked, or None."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not self._is_blocked(suspect):
             return None
         return Deadline(self._clock, self._blocked_until_s(suspect))
 
-    async def target_ended(self, fingerprint, instance_id):
+    async def target_crashed(self, fingerprint, instance_id):
         """Record that a target crashed during a request of this host."""
         if self._was_answered_recently(fingerprint):
             _logger.event(
@@ -249,7 +249,7 @@
             suspect.note_stored(() if statement is None else _counting_marks(statement))
 
     def _is_expired(self, statement):
-        newest_s = min((crash.age_s for crash in statement.ends), default=math.inf)
+        newest_s = min((crash.age_s for crash in statement.crashes), default=math.inf)
         return newest_s > self._settings.memory_s
 
     def _should_be_written(self, suspect):
@@ -318,7 +318,7 @@
             self._log_part(suspect, source)
             await self._wake_writer(suspect)
             return
-        until = self.kept_off_until(suspect.fingerprint)
+        until = self.blocked_until(suspect.fingerprint)
         _logger.event(
             "request is suspected" if until is None else "request is kept off targets",
             fingerprint=suspect.fingerprint,
@@ -378,5 +378,7 @@
 
 def _counting_marks(statement):
     return [
-        (crash.tag, crash.is_trial) for crash in statement.ends if not crash.is_cleared
+        (crash.tag, crash.is_trial)
+        for crash in statement.crashes
+        if not crash.is_cleared
     ]
--- a/siskinthread/poison_requests/_statements.py
+++ b/siskinthread/poison_requests/_statements.py
@@ -20,7 +20,7 @@
     return digest.hexdigest()
 
 
-class EndStatement:
+class CrashStatement:
     """States that a target has crashed during a request.
 
     Parameters
@@ -58,31 +58,31 @@
         remembered.
     """
 
-    __slots__ = ("ends", "fingerprint", "was_answered")
+    __slots__ = ("crashes", "fingerprint", "was_answered")
 
-    def __init__(self, fingerprint, ends, was_answered=False):
+    def __init__(self, fingerprint, crashes, was_answered=False):
         self.fingerprint = fingerprint
-        self.ends = ends
+        self.crashes = crashes
         self.was_answered = was_answered
 
     def key(self):
         """Return a value that changes with the information in the statement."""
-        marks = sorted((crash.tag, self._mark(crash)) for crash in self.ends)
+        marks = sorted((crash.tag, self._mark(crash)) for crash in self.crashes)
         return self.fingerprint, tuple(marks)
 
     def covers(self, other):
         """Return whether this statement includes all information of another one."""
-        own = {crash.tag: self._mark(crash) for crash in self.ends}
+        own = {crash.tag: self._mark(crash) for crash in self.crashes}
         return all(
             crash.tag in own and not other._mark(crash) & ~own[crash.tag]
-            for crash in other.ends
+            for crash in other.crashes
         )
 
     def as_rows(self):
         """Return the crashes as a JSON value."""
         return [
             [crash.tag, round(crash.age_s * TENTHS_PER_SECOND), self._mark(crash)]
-            for crash in self.ends
+            for crash in self.crashes
         ]
 
     def _mark(self, crash):
@@ -103,13 +103,13 @@
         """
         try:
             marks = 0
-            ends = []
+            crashes = []
             for tag, age, mark in rows[:CRASHES_LIMIT]:
                 age_s = max(0, int(age)) / TENTHS_PER_SECOND
                 mark = int(mark)
                 is_cleared, is_trial = bool(mark & CLEARED_BIT), bool(mark & TRIAL_BIT)
-                ends.append(EndStatement(str(tag), age_s, is_cleared, is_trial))
+                crashes.append(CrashStatement(str(tag), age_s, is_cleared, is_trial))
                 marks |= mark
         except (TypeError, ValueError, KeyError, OverflowError) as error:
             raise ProtocolError(f"malformed statement on crashes: {error!r}") from error
-        return cls(str(fingerprint), ends, bool(marks & ANSWERED_BIT))
+        return cls(str(fingerprint), crashes, bool(marks & ANSWERED_BIT))
--- a/siskinthread/poison_requests/_suspect.py
+++ b/siskinthread/poison_requests/_suspect.py
@@ -2,7 +2,7 @@
 
 from siskinthread.poison_requests._statements import (
     CRASHES_LIMIT,
-    EndStatement,
+    CrashStatement,
     SuspectStatement,
 )
 
@@ -84,7 +84,7 @@
         """Apply a statement; return whether it changes anything."""
         is_new = statement.was_answered and not self.was_answered
         self.was_answered = self.was_answered or statement.was_answered
-        for crash in statement.ends:
+        for crash in statement.crashes:
             at_s = now_s - crash.age_s
             is_new |= self.add(crash.tag, at_s, crash.is_cleared, crash.is_trial)
         return is_new
@@ -139,13 +139,13 @@
 
     def statement(self, now_s):
         """Return the current `SuspectStatement`."""
-        ends = [
-            EndStatement(
+        crashes = [
+            CrashStatement(
                 tag, max(0.0, now_s - crash.at_s), crash.is_cleared, crash.is_trial
             )
             for tag, crash in self._crashes.items()
         ]
-        return SuspectStatement(self.fingerprint, ends, self.was_answered)
+        return SuspectStatement(self.fingerprint, crashes, self.was_answered)
 
     def _drop_oldest(self):
         """Keep the newest crashes only, and those in trials longest.
--- a/siskinthread/poison_requests/_write_turns.py
+++ b/siskinthread/poison_requests/_write_turns.py
@@ -6,7 +6,7 @@
 # time.
 SPREAD_HOST_COUNT = 400
 # Name of the order of hosts, which is the same on all hosts.
-MATTER = "suspects"
+ORDER_NAME = "suspects"
 
 
 class WriteTurns:
@@ -21,7 +21,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Provides this host's position in an order that is the same on all hosts.
 
     Notes
@@ -40,9 +40,9 @@
     def wait_s(self):
         """Return how long this host leaves the write to others, seconds."""
         settings = self._settings
-        if self.peers is None or not self.peers.hears_others():
+        if self.peers is None or not self.peers.has_peers():
             return self._spread_s()
-        turn = self.peers.turn_of(MATTER)
+        turn = self.peers.rendezvous_position(ORDER_NAME)
         if turn < settings.write_steps_limit:
             return turn * settings.write_step_s
         return settings.write_steps_limit * settings.write_step_s + self._spread_s()
--- a/siskinthread/poison_requests/tests/part_fleet.py
+++ b/siskinthread/poison_requests/tests/part_fleet.py
@@ -42,11 +42,11 @@
         self.is_report_due = False
         self.is_repeat_due = False
 
-    def hears_others(self):
+    def has_peers(self):
         """Return whether there are other hosts."""
         return self._count > 1
 
-    def turn_of(self, name):
+    def rendezvous_position(self, name):
         """Return its position, which differs by name."""
         return (self._position + len(name) + ord(name[-1])) % self._count
 
@@ -139,7 +139,7 @@
         host = self._random.choice(self.hosts)
         host.guard.note_asked(SERVICE, parts)
         admission = host.guard.admit(SERVICE, parts)
-        if admission.kept_off_until is not None:
+        if admission.blocked_until is not None:
             if CRASHING not in parts:
                 self.refused.append(now_s)
             return
@@ -180,7 +180,7 @@
         name = target.name
         lost = target.crash(now_s + TARGET_DOWN_S)
         for host, parts, trial in lost:
-            await host.guard.target_ended(parts, name, trial)
+            await host.guard.target_crashed(parts, name, trial)
             if trial is not None:
                 host.guard.release(trial)
             self._schedule_report(now_s, host)
--- a/siskinthread/poison_requests/tests/test_following.py
+++ b/siskinthread/poison_requests/tests/test_following.py
@@ -62,8 +62,8 @@
         follower = PoisonFollower(source, register, SETTINGS, SYSTEM_CLOCK, turns)
         reading = await curio.spawn(follower.read)
         writing = await curio.spawn(follower.write)
-        await register.target_ended("fingerprint", "i-1")
-        await register.target_ended("fingerprint", "i-2")
+        await register.target_crashed("fingerprint", "i-1")
+        await register.target_crashed("fingerprint", "i-2")
         async with curio.timeout_after(5.0):
             while source.write_count < 2:
                 assert not writing.terminated
--- a/siskinthread/poison_requests/tests/test_part_guard.py
+++ b/siskinthread/poison_requests/tests/test_part_guard.py
@@ -36,7 +36,7 @@
     """Let targets crash one after the other during requests with some parts."""
     for target in targets:
         host.clock.advance(gap_s)
-        await host.guard.target_ended(names, target, None)
+        await host.guard.target_crashed(names, target, None)
 
 
 def blocked_s(host, *names):
@@ -47,7 +47,7 @@
     admission = host.guard.admit(SERVICE, names)
     if admission.trial is not None:
         host.guard.release(admission.trial)
-    until = admission.kept_off_until
+    until = admission.blocked_until
     return 0.0 if until is None else until.left_s()
 
 
@@ -56,7 +56,7 @@
     clock.advance(SETTINGS.trial_wait_s + SETTINGS.joint_trial_wait_s)
     trial = host.guard.admit(SERVICE, names).trial
     assert trial is not None
-    await host.guard.target_ended(names, target, trial)
+    await host.guard.target_crashed(names, target, trial)
     host.guard.release(trial)
 
 
--- a/siskinthread/poison_requests/tests/test_register.py
+++ b/siskinthread/poison_requests/tests/test_register.py
@@ -8,7 +8,7 @@
 
 from siskinthread.errors import ProtocolError
 from siskinthread.poison_requests import (
-    EndStatement,
+    CrashStatement,
     PoisonRegister,
     PoisonSettings,
     SuspectStatement,
@@ -31,7 +31,7 @@
 async def crash_targets(register, fingerprint, *targets):
     """Record that targets have crashed during a request."""
     for target in targets:
-        await register.target_ended(fingerprint, target)
+        await register.target_crashed(fingerprint, target)
 
 
 async def send_statements(sender, *receivers):
@@ -46,10 +46,10 @@
     async def run():
         register, clock = build()
         await crash_targets(register, POISON, "i-1", "i-2")
-        assert register.kept_off_until(POISON) is None
+        assert register.blocked_until(POISON) is None
         clock.advance(5.0)
         await crash_targets(register, POISON, "i-3")
-        return register.kept_off_until(POISON).left_s()
+        return register.blocked_until(POISON).left_s()
 
     assert curio.run(run) == pytest.approx(SETTINGS.keep_off_s)
 
@@ -64,13 +64,13 @@
     async def run():
         register, clock = build(settings=PAUSING)
         await crash_targets(register, POISON, "i-1")
-        assert register.kept_off_until(POISON) is None
+        assert register.blocked_until(POISON) is None
         await crash_targets(register, POISON, "i-2")
-        paused_s = register.kept_off_until(POISON).left_s()
+        paused_s = register.blocked_until(POISON).left_s()
         clock.advance(PAUSING.pause_s)
-        assert register.kept_off_until(POISON) is None
+        assert register.blocked_until(POISON) is None
         await crash_targets(register, POISON, "i-3")
-        return paused_s, register.kept_off_until(POISON).left_s()
+        return paused_s, register.blocked_until(POISON).left_s()
 
     paused_s, blocked_s = curio.run(run)
     assert paused_s == pytest.approx(PAUSING.pause_s)
@@ -91,7 +91,7 @@
         await register.answered(POISON)
         clock.advance(PAUSING.answered_s + 1)
         await crash_targets(register, POISON, "i-3")
-        return register.kept_off_until(POISON)
+        return register.blocked_until(POISON)
 
     assert curio.run(run) is None
 
@@ -112,10 +112,10 @@
         for _ in range(2):
             for sender in (one, two, three):
                 await send_statements(sender, one, two, three)
-        assert [r.kept_off_until(POISON) for r in (one, two, three)] == [None] * 3
+        assert [r.blocked_until(POISON) for r in (one, two, three)] == [None] * 3
         await crash_targets(two, POISON, "i-3")
         await send_statements(two, one, three)
-        return [r.kept_off_until(POISON) is not None for r in (one, two, three)]
+        return [r.blocked_until(POISON) is not None for r in (one, two, three)]
 
     assert curio.run(run) == [True] * 3
 
@@ -133,11 +133,11 @@
         await crash_targets(one, POISON, "i-1", "i-2", "i-3")
         await send_statements(one, two)
         await two.answered(POISON)
-        assert two.kept_off_until(POISON) is None
+        assert two.blocked_until(POISON) is None
         await send_statements(one, two)
-        assert two.kept_off_until(POISON) is None
+        assert two.blocked_until(POISON) is None
         await send_statements(two, one)
-        return one.kept_off_until(POISON)
+        return one.blocked_until(POISON)
 
     assert curio.run(run) is None
 
@@ -157,7 +157,7 @@
         peer, _ = build(clock)
         await crash_targets(peer, POISON, "i-1", "i-2", "i-3")
         await send_statements(peer, register)
-        return register.kept_off_until(POISON)
+        return register.blocked_until(POISON)
 
     assert curio.run(run) is None
 
@@ -173,7 +173,7 @@
         await register.answered(POISON)
         clock.advance(SETTINGS.answered_s + 0.1)
         await crash_targets(register, POISON, "i-1", "i-2", "i-3")
-        return register.kept_off_until(POISON) is not None
+        return register.blocked_until(POISON) is not None
 
     assert curio.run(run)
 
@@ -185,13 +185,13 @@
         register, clock = build()
         await crash_targets(register, POISON, "i-1", "i-2", "i-3")
         clock.advance(SETTINGS.keep_off_s)
-        assert register.kept_off_until(POISON) is None
+        assert register.blocked_until(POISON) is None
         await crash_targets(register, POISON, "i-4")
-        blocked_s = register.kept_off_until(POISON).left_s()
+        blocked_s = register.blocked_until(POISON).left_s()
         clock.advance(SETTINGS.memory_s + 1)
         register.statements()
         await crash_targets(register, POISON, "i-5")
-        return blocked_s, register.kept_off_until(POISON)
+        return blocked_s, register.blocked_until(POISON)
 
     assert curio.run(run) == (pytest.approx(SETTINGS.keep_off_s), None)
 
@@ -212,8 +212,8 @@
         for number in range(100):
             await crash_targets(register, OTHER, f"k-{number}")
         assert len(register._suspects) == SETTINGS.suspects_limit
-        assert register.kept_off_until(POISON) is not None
-        return [len(one.ends) for one in register.statements()]
+        assert register.blocked_until(POISON) is not None
+        return [len(one.crashes) for one in register.statements()]
 
     assert max(curio.run(run)) <= 8
 
@@ -234,7 +234,7 @@
         for _ in range(6):
             clock.advance(1.0)
             await send_statements(register, late)
-        return [name for name in names if late.kept_off_until(name) is None]
+        return [name for name in names if late.blocked_until(name) is None]
 
     assert curio.run(run) == []
 
@@ -268,7 +268,7 @@
             for sender in registers:
                 await send_statements(sender, *registers)
         for name in (POISON, OTHER):
-            kept = {one.kept_off_until(name) is None for one in registers}
+            kept = {one.blocked_until(name) is None for one in registers}
             assert len(kept) == 1
 
     curio.run(run)
@@ -276,11 +276,11 @@
 
 def test_statements_survive_encoding():
     """The encoding keeps crashes, their ages and whether they still count."""
-    ends = [EndStatement("a1", 12.3, False), EndStatement("b2", 0.0, True)]
-    rows = SuspectStatement(POISON, ends).as_rows()
+    crashes = [CrashStatement("a1", 12.3, False), CrashStatement("b2", 0.0, True)]
+    rows = SuspectStatement(POISON, crashes).as_rows()
     read = SuspectStatement.from_rows(POISON, rows)
-    assert read.key() == SuspectStatement(POISON, ends).key()
-    assert [end.age_s for end in read.ends] == [12.3, 0.0]
+    assert read.key() == SuspectStatement(POISON, crashes).key()
+    assert [end.age_s for end in read.crashes] == [12.3, 0.0]
 
 
 @pytest.mark.parametrize("rows", [None, 7, [["a"]], [["a", "x", 0]], [["a", 1]], {"a"}])
--- a/siskinthread/poison_requests/tests/test_write_turns.py
+++ b/siskinthread/poison_requests/tests/test_write_turns.py
@@ -19,11 +19,11 @@
     def __init__(self, turn):
         self.turn = turn
 
-    def hears_others(self):
+    def has_peers(self):
         """Return whether this host has a position."""
         return self.turn is not None
 
-    def turn_of(self, name):
+    def rendezvous_position(self, name):
         """Return the number of hosts before this one."""
         return self.turn
 
--- a/siskinthread/retry_budget/__init__.py
+++ b/siskinthread/retry_budget/__init__.py
@@ -5,7 +5,7 @@
 has one budget for each service, with the limits of a `FleetShare`.
 """
 
-from siskinthread.retry_budget._fleet import FleetPart, ServiceRetryBudgets
+from siskinthread.retry_budget._fleet import FleetShare, ServiceRetryBudgets
 from siskinthread.retry_budget._retry_budget import RetryBudget
 
-__all__ = ["FleetPart", "RetryBudget", "ServiceRetryBudgets"]
+__all__ = ["FleetShare", "RetryBudget", "ServiceRetryBudgets"]
--- a/siskinthread/retry_budget/_fleet.py
+++ b/siskinthread/retry_budget/_fleet.py
@@ -3,7 +3,7 @@
 from siskinthread.retry_budget._retry_budget import RetryBudget
 
 
-class FleetPart:
+class FleetShare:
     """The share of one host in the fleet's limits on retries.
 
     Provides the attributes that `RetryBudget` reads from its settings.
@@ -15,7 +15,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Provides the number of hosts; None if this host is the only one.
 
     Notes
--- a/siskinthread/retry_budget/tests/test_faults.py
+++ b/siskinthread/retry_budget/tests/test_faults.py
@@ -7,7 +7,7 @@
 from siskinthread.gateway import GatewaySettings
 from siskinthread.peer_news import HostState
 from siskinthread.peer_news.tests.scripted_fleet import ScriptedFleet
-from siskinthread.retry_budget import FleetPart, ServiceRetryBudgets
+from siskinthread.retry_budget import FleetShare, ServiceRetryBudgets
 
 WINDOW_S = 10.0
 SHARE = 0.2
@@ -54,10 +54,10 @@
         return worst
 
     def _build(self, fleet, host):
-        share = FleetPart(self._settings)
-        share.peers = host.news
-        host.news.tells_roster = True
-        host.news.describe = lambda: HostState(1, True, {})
+        share = FleetShare(self._settings)
+        share.peers = host.gossip
+        host.gossip.sends_roster = True
+        host.gossip.describe = lambda: HostState(1, True, {})
         host.budgets = ServiceRetryBudgets(share, fleet.clock)
 
     def _request(self):
--- a/siskinthread/retry_budget/tests/test_fleet.py
+++ b/siskinthread/retry_budget/tests/test_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from siskinthread.gateway import GatewaySettings
-from siskinthread.retry_budget import FleetPart, ServiceRetryBudgets
+from siskinthread.retry_budget import FleetShare, ServiceRetryBudgets
 from siskinthread.timing import ManualClock
 
 WINDOW_S = 10.0
@@ -36,7 +36,7 @@
     """Return the budgets of hosts that all know each other."""
     fleet = []
     for _ in range(count):
-        share = FleetPart(SETTINGS)
+        share = FleetShare(SETTINGS)
         share.peers = FakePeers(count)
         fleet.append(ServiceRetryBudgets(share, clock))
     return fleet
@@ -93,7 +93,7 @@
 
     The settings name other hosts, and none of them is known yet.
     """
-    share = FleetPart(SETTINGS)
+    share = FleetShare(SETTINGS)
     share.peers = FakePeers(None)
     host = ServiceRetryBudgets(share, ManualClock())
     assert not host.try_spend("llm")
--- a/siskinthread/target_limits/_cold.py
+++ b/siskinthread/target_limits/_cold.py
@@ -83,7 +83,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Provides this host's position among all hosts; None if there are no others.
     evacuations : object or None
         Its ``taken_back_s_ago(domain)`` returns the seconds since a failure domain was
@@ -438,7 +438,7 @@
         host_count = self.peers.roster_count()
         position, known_count = self._order_positions.get(target.instance_id, (0, 0))
         if known_count != host_count:
-            position = self.peers.roster_place(target.instance_id)
+            position = self.peers.roster_position(target.instance_id)
             self._order_positions[target.instance_id] = (position, host_count)
         return rule.quota(position, host_count)
 
--- a/siskinthread/target_limits/_register.py
+++ b/siskinthread/target_limits/_register.py
@@ -24,7 +24,7 @@
 
     Attributes
     ----------
-    peers : siskinthread.peer_news.PeerNews or None
+    peers : siskinthread.peer_news.PeerGossip or None
         Provides the request rates of other hosts and this host's turn to test.
 
     Notes
@@ -330,7 +330,11 @@
         wait_s = self._settings.test_wait_s
         if silent_s < wait_s:
             return False
-        turn = 0 if self.peers is None else self.peers.turn_of(limit.instance_id)
+        turn = (
+            0
+            if self.peers is None
+            else self.peers.rendezvous_position(limit.instance_id)
+        )
         return silent_s >= wait_s * (1 + turn)
 
     def _drop_expired(self, now_s):
--- a/siskinthread/target_limits/tests/cold_model.py
+++ b/siskinthread/target_limits/tests/cold_model.py
@@ -61,7 +61,7 @@
         """Return the number of known hosts, including this one."""
         return self._host_count - len(self._unknown())
 
-    def roster_place(self, name):
+    def roster_position(self, name):
         """Return the number of known hosts before this one."""
         return self._place - sum(place < self._place for _, place in self._unknown())
 
--- a/siskinthread/target_limits/tests/fault_model.py
+++ b/siskinthread/target_limits/tests/fault_model.py
@@ -101,9 +101,9 @@
 
     def _build(self, fleet, host):
         limits = TargetLimits(TargetLimitSettings(), fleet.clock, host.random)
-        limits.peers = host.news
-        host.limits = host.news.limits = limits
-        host.news.describe = lambda: HostState(
+        limits.peers = host.gossip
+        host.limits = host.gossip.limits = limits
+        host.gossip.describe = lambda: HostState(
             1, True, {}, limits=limits.statements(), asked_rates=limits.asked_rates()
         )
 
@@ -137,12 +137,12 @@
 
     def _build(self, fleet, host):
         cold = ColdTargets(COLD_SETTINGS, fleet.clock, host.random)
-        cold.peers = host.news
+        cold.peers = host.gossip
         cold.take_table(self._table)
         host.cold = cold
-        host.news.take_cold = cold.hear
-        host.news.tells_roster = True
-        host.news.describe = lambda: HostState(1, True, {}, cold=cold.statements())
+        host.gossip.on_cold = cold.hear
+        host.gossip.sends_roster = True
+        host.gossip.describe = lambda: HostState(1, True, {}, cold=cold.statements())
         if fleet.now_s() >= FAULT_S:
             cold.note_entry(TARGET, is_new=True)
 
--- a/siskinthread/target_limits/tests/model.py
+++ b/siskinthread/target_limits/tests/model.py
@@ -56,7 +56,7 @@
             if REPORT_VALID_S < now_s - at_s <= REPORT_KEPT_S
         )
 
-    def turn_of(self, name):
+    def rendezvous_position(self, name):
         """Return the number of hosts before this one."""
         return self._turn
 
--- a/siskinthread/target_limits/tests/test_cold.py
+++ b/siskinthread/target_limits/tests/test_cold.py
@@ -41,7 +41,7 @@
         """Return the number of hosts."""
         return self.host_count
 
-    def roster_place(self, name):
+    def roster_position(self, name):
         """Return the number of hosts before this one."""
         return self.place
 
--- a/siskinthread/target_limits/tests/test_register.py
+++ b/siskinthread/target_limits/tests/test_register.py
@@ -32,7 +32,7 @@
         """Return the request rate of silent failure domains: none."""
         return 0.0
 
-    def turn_of(self, name):
+    def rendezvous_position(self, name):
         """Return the number of hosts before this one."""
         return self.turn
 
