--- a/siskinthread/execution/__init__.py
+++ b/siskinthread/execution/__init__.py
@@ -1,4 +1,4 @@
-"""Agent side: link server, ledger of requests, stream buffers.
+"""Execution of requests at an agent: link server, request ledger, stream buffers.
 
 Interface: ``AgentServer(identity, settings, peer_settings, view, target, clock,
 metrics)`` with ``async run(listening_socket)``, ``set_listed_leaving(leaving)``,
--- a/siskinthread/execution/_buffer.py
+++ b/siskinthread/execution/_buffer.py
@@ -1,8 +1,8 @@
-"""The bytes of one response that are still wanted."""
+"""Buffer for the bytes of one response that may still be needed."""
 
 
 class StreamBuffer:
-    """Bytes of a stream from a base offset up to its present end.
+    """Bytes of a stream from a base offset up to its current end.
 
     Parameters
     ----------
@@ -18,25 +18,25 @@
 
     @property
     def end_bytes(self):
-        """Offset behind the last byte."""
+        """Offset after the last byte."""
         return self.base_bytes + len(self._data)
 
     @property
     def size_bytes(self):
-        """Number of bytes that are held."""
+        """Number of bytes in the buffer."""
         return len(self._data)
 
     def append(self, data):
-        """Add the next bytes of the stream."""
+        """Append the next bytes of the stream."""
         self._data += data
 
     def read(self, offset_bytes, limit_bytes):
-        """Return up to `limit_bytes` bytes from an offset that is held."""
+        """Return up to `limit_bytes` bytes from an offset inside the buffer."""
         start = offset_bytes - self.base_bytes
         return bytes(self._data[start : start + limit_bytes])
 
-    def free(self, offset_bytes):
-        """Drop the bytes before an offset; one outside the buffer is brought inside."""
+    def discard_before(self, offset_bytes):
+        """Discard the bytes before an offset, which is clipped to the buffer."""
         count = min(offset_bytes - self.base_bytes, len(self._data))
         if count > 0:
             del self._data[:count]
--- a/siskinthread/execution/_building.py
+++ b/siskinthread/execution/_building.py
@@ -1,4 +1,4 @@
-"""From frames to executions and attempts."""
+"""Builds executions and attempts from frames."""
 
 import hashlib
 
@@ -13,12 +13,12 @@
 
 
 class ExecutionBuilder:
-    """Builds executions with the deadlines that their frames and settings give.
+    """Builds executions with deadlines from their frames and the settings.
 
     Parameters
     ----------
     parts : ExecutionParts
-        What the parts of an agent share.
+        Objects that the parts of an agent share.
     """
 
     __slots__ = ("_clock", "_settings", "_view")
@@ -29,33 +29,33 @@
         self._view = parts.view
 
     def deadline(self, message):
-        """Return the deadline that a start or resume frame states."""
+        """Return the deadline given in a start or resume frame."""
         return Deadline.after_ms(self._clock, message.time_left_ms)
 
     def new_execution(self, start):
-        """Return the execution of a `StartRequest`."""
+        """Return a new execution for a `StartRequest`."""
         execution = Execution(
             start.request_id,
             is_keyed(start),
             digest_of(start),
             start.priority,
             self.deadline(start),
-            self._forget_deadline(start),
+            self._retention_deadline(start),
         )
         execution.request = _target_request(start)
         return execution
 
-    def continued_execution(self, message, digest):
-        """Return the execution of a request that an earlier incarnation began.
+    def resumed_execution(self, message, digest):
+        """Return an execution for a request that an earlier incarnation started.
 
         Parameters
         ----------
         message : StartRequest or ResumeRequest
-            Who asks for it.
+            The frame that asks about the request.
         digest : bytes or None
-            Digest of what was asked, if it is known.
+            Digest of the request's content, if it is known.
         """
-        # All of a keyed answer is wanted, for retries.
+        # A keyed answer is fetched from its first byte, so that retries get all of it.
         keyed = is_keyed(message)
         return Execution(
             message.request_id,
@@ -63,11 +63,11 @@
             digest,
             RESUMED_PRIORITY,
             self.deadline(message),
-            self._forget_deadline(message),
-            0 if keyed else wanted_offset_bytes(message),
+            self._retention_deadline(message),
+            0 if keyed else requested_offset_bytes(message),
         )
 
-    def _forget_deadline(self, message):
+    def _retention_deadline(self, message):
         wait_s = self.deadline(message).left_s() + self._settings.forget_grace_s
         if is_keyed(message):
             lifetime_s = self._lifetime_s(message.service_name)
@@ -83,33 +83,33 @@
 
 
 def new_attempt(attempt_id, execution, message):
-    """Return the attempt that a start or resume frame makes at an execution."""
+    """Return the attempt of a start or resume frame for an execution."""
     return Attempt(
         attempt_id,
         execution,
         window_bytes_of(message),
-        wanted_offset_bytes(message),
+        requested_offset_bytes(message),
         bool(getattr(message, "head_received", False)),
     )
 
 
 def window_bytes_of(message):
-    """Return the window of a frame, at least one byte so that a stream goes on."""
+    """Return the window of a frame, at least 1 byte so that the stream can proceed."""
     return max(1, message.window_bytes)
 
 
-def wanted_offset_bytes(message):
-    """Return the first byte that a start or resume frame wants."""
+def requested_offset_bytes(message):
+    """Return the offset of the first byte that a start or resume frame asks for."""
     return getattr(message, "offset_bytes", 0)
 
 
 def is_keyed(message):
-    """Return whether a start or resume frame is about an idempotency key."""
+    """Return whether the request of a frame has an idempotency key."""
     return message.request_id.startswith(KEYED_ID_PREFIX)
 
 
 def digest_of(start):
-    """Return a digest of what a start frame asks for."""
+    """Return a digest of a start frame's service, method, path and body."""
     digest = hashlib.blake2b(digest_size=DIGEST_SIZE_BYTES)
     for text in (start.service_name, start.method, start.path):
         digest.update(f"{len(text)} {text} ".encode())
--- a/siskinthread/execution/_execution.py
+++ b/siskinthread/execution/_execution.py
@@ -1,4 +1,4 @@
-"""One request at this agent, and the attempts that want its answer."""
+"""A request at this agent, and the attempts that read its answer."""
 
 import curio
 
@@ -7,14 +7,14 @@
 
 
 class AttemptId:
-    """Names an attempt: the entry's incarnation and its counter.
+    """Identifies an attempt by the entry's incarnation and a sequence number.
 
     Parameters
     ----------
     entry_incarnation : str
         Incarnation of the entry that made the attempt.
     number : int
-        The entry's counter.
+        Sequence number of the attempt at the entry.
     """
 
     __slots__ = ("entry_incarnation", "number")
@@ -33,7 +33,7 @@
         return hash((self.entry_incarnation, self.number))
 
     def follows(self, other):
-        """Return whether the same entry made this attempt after another one."""
+        """Return whether this is a later attempt of the same entry as `other`."""
         return (
             self.entry_incarnation == other.entry_incarnation
             and self.number > other.number
@@ -49,24 +49,24 @@
     Parameters
     ----------
     attempt_id : AttemptId
-        Which one.
+        Id of the attempt.
     execution : Execution
-        Whose answer it wants.
+        The execution whose answer the attempt reads.
     window_bytes : int
-        Bytes that may be under way unacknowledged.
+        Maximum number of sent but unacknowledged bytes.
     offset_bytes : int
-        First byte that it wants.
+        Offset of the first byte of the body to send.
     head_sent : bool
-        Whether the entry has the head already.
+        Whether the entry has already received the head.
 
     Attributes
     ----------
     cancelled : bool
-        Whether its entry wants nothing but the end.
+        Whether the entry needs only the end.
     link : Link or None
-        The connection to write to; None while the entry has none.
+        The connection to write to; None while the entry has no connection.
     detached_deadline : Deadline or None
-        When an attempt without a connection is given up.
+        When an attempt without a connection is dropped.
     """
 
     __slots__ = (
@@ -102,24 +102,24 @@
         end = min(window_end, self.execution.buffer.end_bytes)
         return max(0, end - self.sent_bytes)
 
-    def wants_head(self):
+    def may_send_head(self):
         """Return whether the head may be sent now."""
         known = self.execution.head is not None
         return known and not self.head_sent and not self.cancelled
 
     def acknowledge(self, received_bytes):
-        """Take in an acknowledgement; late, repeated and impossible ones are harmless.
+        """Apply an acknowledgement, which may be late, repeated or out of range.
 
         Notes
         -----
-        One beyond what was sent is cut off there.  Believing it would free bytes that
-        the entry never got, and its answer would have a hole.
+        The offset is limited to the bytes that were sent.  Otherwise bytes that the
+        entry never received would be discarded, and its answer would have a gap.
         """
         received_bytes = min(received_bytes, self.sent_bytes)
         self.acknowledged_bytes = max(self.acknowledged_bytes, received_bytes)
 
     def seek(self, offset_bytes, window_bytes, head_sent):
-        """Go on from the offset that a resuming entry states."""
+        """Continue from the offset that a resuming entry gives."""
         self.sent_bytes = offset_bytes
         self.acknowledged_bytes = max(self.acknowledged_bytes, offset_bytes)
         self.window_bytes = window_bytes
@@ -128,7 +128,7 @@
 
 
 class Execution:
-    """One request that runs or ran here.
+    """A request that waits, runs or has run at this agent.
 
     Parameters
     ----------
@@ -137,33 +137,39 @@
     keyed : bool
         Whether it has an idempotency key.
     digest : bytes or None
-        Digest of what was asked; None if it is not known.
+        Digest of the request's content; None if it is not known.
     priority : int
         0 is the most urgent.
     deadline : Deadline
         When the last of its callers stops waiting.
-    forget_deadline : Deadline
-        Before this nothing of it is forgotten.
+    retention_deadline : Deadline
+        Until when the record is kept.
     base_bytes : int
-        Offset of the first byte of the body that is held.
+        Offset of the first byte of the body in the buffer.
 
     Attributes
     ----------
+    attempts : dict of AttemptId to Attempt
+        The attempts that read the answer.
     request : TargetRequest or None
-        What is asked of the target; dropped once it ended.
+        The request to the target; dropped once the execution ended.
     call : Call or None
         The call of the target.
     task : curio.Task or None
-        The task that runs it.
+        The task that runs the execution.
     end : End or None
-        How it ended.
-    stopping_reason : Reason or None
-        Why it is being cancelled.
+        The outcome, once it is known.
+    cancel_reason : Reason or None
+        Why the execution is being cancelled.
     unknown_reason : Reason or None
-        Reason to give if the target, asked about a request of an earlier incarnation,
-        does not know it.
-    keeps_whole : bool
+        Reason of the outcome if the target does not know the request of an earlier
+        incarnation.
+    retains_body : bool
         Whether acknowledged bytes are kept for retries.
+    reserved_bytes : int
+        Memory that the ledger counts for the record of a key.
+    space_freed : curio.Event
+        Set when the buffer may have space again.
     """
 
     __slots__ = (
@@ -173,16 +179,16 @@
         "deadline",
         "digest",
         "end",
-        "forget_deadline",
+        "retention_deadline",
         "head",
-        "keeps_whole",
+        "retains_body",
         "keyed",
         "priority",
         "request",
         "request_id",
         "reserved_bytes",
-        "room",
-        "stopping_reason",
+        "space_freed",
+        "cancel_reason",
         "task",
         "unknown_reason",
     )
@@ -194,26 +200,26 @@
         digest,
         priority,
         deadline,
-        forget_deadline,
+        retention_deadline,
         base_bytes=0,
     ):
         self.request_id = request_id
         self.keyed = keyed
-        self.keeps_whole = keyed
+        self.retains_body = keyed
         self.digest = digest
         self.priority = priority
         self.deadline = deadline
-        self.forget_deadline = forget_deadline
+        self.retention_deadline = retention_deadline
         self.buffer = StreamBuffer(base_bytes)
         self.attempts = {}
         self.reserved_bytes = 0
-        self.room = curio.Event()
+        self.space_freed = curio.Event()
         self.request = None
         self.call = None
         self.task = None
         self.head = None
         self.end = None
-        self.stopping_reason = None
+        self.cancel_reason = None
         self.unknown_reason = None
 
     @property
@@ -223,21 +229,21 @@
 
     @property
     def refused(self):
-        """Whether it ended without having run."""
+        """Whether the execution ended without having run."""
         return self.ended and self.end.outcome == Outcome.REFUSED_NOT_RUN
 
-    def holds(self, offset_bytes):
-        """Return whether the body is held from an offset on."""
+    def contains_from(self, offset_bytes):
+        """Return whether an offset lies in the buffered body or directly after it."""
         return self.buffer.base_bytes <= offset_bytes <= self.buffer.end_bytes
 
-    def free_acknowledged(self):
-        """Drop the bytes that every attempt has, unless retries may want them."""
-        if self.keeps_whole:
+    def discard_acknowledged(self):
+        """Discard bytes that all attempts acknowledged, unless kept for retries."""
+        if self.retains_body:
             return
-        wanting = [it for it in self.attempts.values() if not it.cancelled]
-        self.buffer.free(
+        active = [it for it in self.attempts.values() if not it.cancelled]
+        self.buffer.discard_before(
             min(
-                (attempt.acknowledged_bytes for attempt in wanting),
+                (attempt.acknowledged_bytes for attempt in active),
                 default=self.buffer.end_bytes,
             )
         )
--- a/siskinthread/execution/_handler.py
+++ b/siskinthread/execution/_handler.py
@@ -1,4 +1,4 @@
-"""What becomes of the frames about attempts."""
+"""Handling of the frames that start, resume, acknowledge and cancel attempts."""
 
 import curio
 
@@ -7,7 +7,7 @@
     ExecutionBuilder,
     is_keyed,
     new_attempt,
-    wanted_offset_bytes,
+    requested_offset_bytes,
     window_bytes_of,
 )
 from siskinthread.execution._execution import AttemptId
@@ -24,16 +24,16 @@
     Parameters
     ----------
     parts : ExecutionParts
-        What the parts of an agent share.
+        Objects that the parts of an agent share.
     runner : Runner
         Runs executions.
     key_rules : KeyRules
-        Tells whether the ledger vouches for a key.
+        Checks whether a missing record proves that a key did not run.
 
     Attributes
     ----------
     leaving : bool
-        Whether new work is refused.
+        Whether new requests are refused.
     """
 
     __slots__ = (
@@ -64,7 +64,7 @@
         self.leaving = False
 
     async def start(self, message, link):
-        """Run a request, or attach to its execution, or refuse it."""
+        """Run a request, attach the attempt to its execution, or refuse it."""
         attempt_id = AttemptId(link.entry_incarnation, message.attempt)
         if attempt_id in self._ledger.attempts:
             return
@@ -76,78 +76,82 @@
             await self._start_new(message, attempt_id, link)
         elif execution.digest not in (None, digest_of(message)):
             end = refused(Reason.KEY_REUSED, "The key stands for another request.")
-            await self._end_at_once(attempt_id, end, message, link)
+            await self._reject(attempt_id, end, message, link)
         else:
-            await self._join(execution, attempt_id, message, link)
+            await self._attach_to_existing(execution, attempt_id, message, link)
 
     async def _start_new(self, message, attempt_id, link):
-        objection = self._start_rules.objection(message, attempt_id, self.leaving)
-        if objection is None:
-            objection = await self._run(message, attempt_id, link)
-        if objection is None:
+        rejection = self._start_rules.rejection(message, attempt_id, self.leaving)
+        if rejection is None:
+            rejection = await self._run(message, attempt_id, link)
+        if rejection is None:
             return
-        if objection.outcome == Outcome.UNKNOWN:
+        if rejection.outcome == Outcome.UNKNOWN:
             digest = digest_of(message)
-            await self._ask_target(message, attempt_id, link, objection.reason, digest)
+            await self._query_target(
+                message, attempt_id, link, rejection.reason, digest
+            )
             return
-        self._start_rules.note_refusal(message, attempt_id, objection)
-        await self._end_at_once(attempt_id, objection, message, link)
+        self._start_rules.note_refusal(message, attempt_id, rejection)
+        await self._reject(attempt_id, rejection, message, link)
 
     async def _run(self, message, attempt_id, link):
-        """Run a new request; return the refusal if there is no room for it."""
+        """Run a new request, or return its refusal if the run queue is full."""
         execution = self._builder.new_execution(message)
-        placed = self._runner.turns.place(execution)
-        if placed is None:
+        placement = self._runner.run_queue.admit(execution)
+        if placement is None:
             return overloaded(self._settings)
         self._ledger.add(execution)
         await self._attach(new_attempt(attempt_id, execution, message), link)
-        await self._runner.follow_up(execution, placed)
+        await self._runner.apply_placement(execution, placement)
         return None
 
-    async def _join(self, execution, attempt_id, message, link):
-        if not execution.holds(wanted_offset_bytes(message)):
+    async def _attach_to_existing(self, execution, attempt_id, message, link):
+        if not execution.contains_from(requested_offset_bytes(message)):
             end = unknown(Reason.ANSWER_GONE, "Bytes that are wanted are gone.")
-            await self._end_at_once(attempt_id, end, message, link)
+            await self._reject(attempt_id, end, message, link)
             return
-        self._keep_longer(execution, message)
+        self._extend_retention(execution, message)
         await self._attach(new_attempt(attempt_id, execution, message), link)
 
-    def _keep_longer(self, execution, message):
-        # A record that is forgotten while an attempt still reads its answer would leave
-        # that attempt without an end.
+    def _extend_retention(self, execution, message):
+        # If the record expired while an attempt still reads the answer, the attempt
+        # would never get its end.
         deadline = self._builder.deadline(message)
         if deadline.at_s > execution.deadline.at_s:
             execution.deadline = deadline
         wait_s = deadline.left_s() + self._settings.forget_grace_s
-        forget_deadline = Deadline.after(self._clock, wait_s)
-        if forget_deadline.at_s > execution.forget_deadline.at_s:
-            execution.forget_deadline = forget_deadline
-            self._ledger.schedule_forgetting(execution)
+        retention_deadline = Deadline.after(self._clock, wait_s)
+        if retention_deadline.at_s > execution.retention_deadline.at_s:
+            execution.retention_deadline = retention_deadline
+            self._ledger.schedule_expiry(execution)
 
     async def _attach(self, attempt, link):
         if attempt.attempt_id not in self._ledger.attempts:
             self._ledger.attach(attempt)
         if attempt.link is not None:
-            attempt.link.forget(attempt)
+            attempt.link.drop_attempt(attempt)
         attempt.link = link
         attempt.detached_deadline = None
         self._detached.discard(attempt)
         link.attempts.add(attempt)
-        await link.mark(attempt)
+        await link.schedule_write(attempt)
 
-    async def _end_at_once(self, attempt_id, end, message, link):
+    async def _reject(self, attempt_id, end, message, link):
         deadline = self._builder.deadline(message)
         self._ledger.refuse(attempt_id, end, deadline)
         self._metrics.ends.labels(end.outcome.label, str(end.reason)).inc()
         await link.send_end(attempt_id, end)
 
     async def resume(self, message, link):
-        """Go on with an attempt over a new connection."""
+        """Continue an attempt over a new connection."""
         attempt_id = AttemptId(link.entry_incarnation, message.attempt)
         attempt = self._ledger.attempts.get(attempt_id)
         refusal = self._ledger.refusal(attempt_id)
         execution = self._ledger.find(message.request_id)
-        if attempt is not None and attempt.execution.holds(message.offset_bytes):
+        if attempt is not None and attempt.execution.contains_from(
+            message.offset_bytes
+        ):
             window_bytes = window_bytes_of(message)
             head_received = bool(message.head_received)
             attempt.seek(message.offset_bytes, window_bytes, head_received)
@@ -155,72 +159,78 @@
         elif refusal is not None:
             await link.send_end(attempt_id, refusal.end)
         elif execution is not None:
-            await self._join(execution, attempt_id, message, link)
+            await self._attach_to_existing(execution, attempt_id, message, link)
         elif message.sent_to_incarnation == self._identity.incarnation:
             await self._refuse_never_received(message, attempt_id, link)
         else:
-            await self._ask_target(message, attempt_id, link, Reason.AGENT_REPLACED)
+            await self._query_target(message, attempt_id, link, Reason.AGENT_REPLACED)
 
     async def _refuse_never_received(self, message, attempt_id, link):
-        # The refusal has to be on record before it is said: the start frame may still
-        # lie in an older connection.  Past its deadline the record of a request that
-        # did run may be gone, and nothing can be said.
+        # The refusal has to be recorded before it is sent, since the start frame may
+        # still arrive on an older connection.  Past the deadline the record of a
+        # request that did run may have expired, so its outcome is unknown.
         deadline = self._builder.deadline(message)
         if deadline.passed() or not self._ledger.has_room_for_refusal():
             end = unknown(Reason.ANSWER_GONE, "No record of the request is left.")
         else:
             end = refused(Reason.NEVER_RECEIVED, "The request never arrived.")
-        await self._end_at_once(attempt_id, end, message, link)
+        await self._reject(attempt_id, end, message, link)
 
-    async def _ask_target(self, message, attempt_id, link, reason, digest=None):
-        """Ask the target about a request that an earlier incarnation may have sent."""
-        execution = self._builder.continued_execution(message, digest)
+    async def _query_target(self, message, attempt_id, link, reason, digest=None):
+        """Query the target about a request that an earlier incarnation may have sent.
+
+        If the target can't be queried, the outcome is unknown.
+        """
+        execution = self._builder.resumed_execution(message, digest)
         offset_bytes = execution.buffer.base_bytes
         call = resume_call(self._target, message.request_id, offset_bytes)
         if call is None:
             end = unknown(reason, "This process can't tell whether it ran.")
-            await self._end_at_once(attempt_id, end, message, link)
+            await self._reject(attempt_id, end, message, link)
             return
         execution.unknown_reason = reason
         self._ledger.add(execution)
         await self._attach(new_attempt(attempt_id, execution, message), link)
-        await self._runner.go_on(execution, call)
+        await self._runner.run_resumed(execution, call)
 
     async def acknowledge(self, message, link):
-        """Free what arrived; let more be sent or forget the attempt."""
+        """Discard acknowledged bytes, and send more or drop a finished attempt."""
         attempt_id = AttemptId(link.entry_incarnation, message.attempt)
         attempt = self._ledger.attempts.get(attempt_id)
         if attempt is None:
             return
         attempt.acknowledge(message.received_bytes)
         if message.finished:
-            await self._drop(attempt)
+            await self._drop_attempt(attempt)
             return
-        await self._free_acknowledged(attempt.execution)
+        await self._discard_acknowledged(attempt.execution)
         if attempt.link is not None:
-            await attempt.link.mark(attempt)
+            await attempt.link.schedule_write(attempt)
+
+    async def _discard_acknowledged(self, execution):
+        execution.discard_acknowledged()
+        await execution.space_freed.set()
 
-    async def _free_acknowledged(self, execution):
-        execution.free_acknowledged()
-        await execution.room.set()
+    async def _drop_attempt(self, attempt):
+        """Drop an attempt whose entry needs nothing more.
 
-    async def _drop(self, attempt):
-        """Forget an attempt whose entry wants nothing more."""
+        Stops an execution without key that has no other attempts.
+        """
         execution = attempt.execution
         self._ledger.detach(attempt)
         self._detached.discard(attempt)
-        await self._free_acknowledged(execution)
+        await self._discard_acknowledged(execution)
         if execution.keyed or execution.attempts:
             return
         if execution.ended:
             grace_s = self._settings.finished_grace_s
-            execution.forget_deadline = Deadline.after(self._clock, grace_s)
-            self._ledger.schedule_forgetting(execution)
+            execution.retention_deadline = Deadline.after(self._clock, grace_s)
+            self._ledger.schedule_expiry(execution)
         else:
             await self._runner.stop(execution, Reason.CANCELLED)
 
     async def cancel(self, message, link):
-        """Stop a request whose caller left, unless others may want it.
+        """Stop a request whose caller left, unless it has a key or other attempts.
 
         The entry repeats the frame over new connections until an end arrives.
         """
@@ -234,61 +244,61 @@
         elif attempt.execution.keyed or len(attempt.execution.attempts) > 1:
             end = unknown(Reason.CANCELLED, "The request goes on for others.")
             await link.send_end(attempt_id, end)
-            await self._drop(attempt)
+            await self._drop_attempt(attempt)
         else:
             attempt.cancelled = True
             await self._attach(attempt, link)
-            await self._free_acknowledged(attempt.execution)
+            await self._discard_acknowledged(attempt.execution)
             await self._runner.stop(attempt.execution, Reason.CANCELLED)
 
     async def _cancel_unknown(self, message, attempt_id, link):
-        # Its start frame may still be on its way over an older connection, or an
-        # earlier incarnation of this agent may have sent it to the target.
+        # The start frame may still arrive on an older connection, or an earlier
+        # incarnation of this agent may have sent the request to the target.
         end = unknown(Reason.CANCELLED, "Cancelled; no record of it.")
-        late = Deadline.after(self._clock, self._settings.forget_grace_s)
-        self._ledger.refuse(attempt_id, end, late)
+        deadline = Deadline.after(self._clock, self._settings.forget_grace_s)
+        self._ledger.refuse(attempt_id, end, deadline)
         await link.send_end(attempt_id, end)
         call = resume_call(self._target, message.request_id, 0)
         if call is not None and not is_keyed(message):
             await curio.spawn(call.cancel, daemon=True)
 
     def detach_link(self, link):
-        """Keep the attempts of a lost connection for a while."""
+        """Keep the attempts of a lost connection for up to `orphan_limit_s`."""
         for attempt in list(link.attempts):
-            link.forget(attempt)
+            link.drop_attempt(attempt)
             attempt.link = None
             wait_s = self._settings.orphan_limit_s
             attempt.detached_deadline = Deadline.after(self._clock, wait_s)
             self._detached.add(attempt)
 
     async def expire(self):
-        """Stop and forget what passed its deadline."""
+        """Stop executions, and drop attempts and records, whose deadline passed."""
         for attempt in list(self._detached):
             if attempt.attempt_id not in self._ledger.attempts:
                 self._detached.discard(attempt)
             elif attempt.detached_deadline.passed() and not attempt.execution.ended:
-                await self._drop(attempt)
-        turns = self._runner.turns
-        for execution in [*turns.running, *turns.waiting()]:
+                await self._drop_attempt(attempt)
+        run_queue = self._runner.run_queue
+        for execution in [*run_queue.running, *run_queue.waiting()]:
             if _is_overdue(execution):
                 await self._runner.stop(execution, Reason.DEADLINE_PASSED)
         self._ledger.expire()
 
-    def is_quiet(self):
-        """Return whether nothing runs and every end arrived or can't arrive."""
-        turns = self._runner.turns
-        if turns.running or turns.waiting_count:
+    def is_drained(self):
+        """Return whether nothing runs or waits and no end can still be delivered."""
+        run_queue = self._runner.run_queue
+        if run_queue.running or run_queue.waiting_count:
             return False
         attempts = self._ledger.attempts.values()
-        return not any(_is_awaited(attempt) for attempt in attempts)
+        return not any(_may_get_end(attempt) for attempt in attempts)
 
 
-def _is_awaited(attempt):
+def _may_get_end(attempt):
     return attempt.link is not None or not attempt.detached_deadline.passed()
 
 
 def _is_overdue(execution):
-    # A request with a key goes on for its retries' sake once it has begun.
+    # A request with a key that has started continues past its deadline, for retries.
     if execution.keyed and execution.task is not None:
-        return execution.forget_deadline.passed()
+        return execution.retention_deadline.passed()
     return execution.deadline.passed()
--- a/siskinthread/execution/_metrics.py
+++ b/siskinthread/execution/_metrics.py
@@ -23,9 +23,9 @@
             "execution_kept_bytes", "Memory of idempotency keys and their answers."
         )
 
-    def watch(self, ledger, turns, links):
-        """Read the gauges from the state itself whenever they are asked for."""
-        self._running.set_function(lambda: len(turns.running))
-        self._waiting.set_function(lambda: turns.waiting_count)
+    def watch(self, ledger, run_queue, links):
+        """Compute the gauges from these objects whenever the metrics are read."""
+        self._running.set_function(lambda: len(run_queue.running))
+        self._waiting.set_function(lambda: run_queue.waiting_count)
         self._links.set_function(lambda: len(links))
         self._kept.set_function(lambda: ledger.kept_bytes)
--- a/siskinthread/execution/_receiving.py
+++ b/siskinthread/execution/_receiving.py
@@ -1,4 +1,4 @@
-"""What an agent does with each kind of frame from an entry."""
+"""Handling of each kind of frame from an entry."""
 
 import functools
 import types
@@ -37,19 +37,19 @@
 
 @functools.singledispatch
 async def receive(message, link):
-    """Take over one message from an entry.
+    """Handle one message from an entry.
 
     Parameters
     ----------
     message : object
         The set field of a `Frame`.
     link : Link
-        The link on which it came.
+        The link on which the message arrived.
 
     Raises
     ------
     ProtocolError
-        If an entry may not send the message, or a field is missing.
+        If an entry may not send this kind of message, or a field is missing.
     """
     raise ProtocolError(f"an entry may not send {type(message).__name__}")
 
@@ -57,13 +57,13 @@
 @receive.register
 async def _(message: types.NoneType, link):
     # An entry of a newer version may send a kind of frame that this version does not
-    # know.  Were the link dropped over it, mixed versions could not work together.
+    # know.  Dropping the link would keep mixed versions from working together.
     pass
 
 
 @receive.register
 async def _(message: Heartbeat, link):
-    # Any frame counts as a sign of life already.
+    # The silence deadline was already restarted when the frame was read.
     await link.control.receive(message, link)
 
 
@@ -87,7 +87,7 @@
 async def _(message: ResumeRequest, link):
     _check_fields(message, RESUME_FIELDS)
     if message.offset_bytes < 0:
-        raise ProtocolError("negative offset")
+        raise ProtocolError("ResumeRequest with a negative offset")
     await link.handler.resume(message, link)
 
 
@@ -104,8 +104,8 @@
 
 
 def _check_fields(message, names):
-    # Every field is optional on the wire.  A missing one would come up as a TypeError
-    # deep inside, after part of the request had been taken in.
+    # Every field is optional on the wire.  Without this check, a missing field would
+    # raise a TypeError later, after part of the request had been recorded.
     missing = [name for name in names if getattr(message, name) is None]
     if missing:
         kind = type(message).__name__
--- a/siskinthread/execution/_turns.py
+++ b/siskinthread/execution/_run_queue.py
@@ -1,4 +1,4 @@
-"""Which requests run and which wait, by priority."""
+"""Priority queue that decides which requests run and which wait."""
 
 import bisect
 import itertools
@@ -6,15 +6,16 @@
 URGENT_PRIORITY = 0
 
 
-class Placed:
-    """A request that was taken in.
+class Placement:
+    """Result of admitting an execution.
 
     Parameters
     ----------
     runs : bool
-        Whether it runs at once.
+        Whether the execution runs at once.
     displaced : Execution or None
-        A less urgent one that waited and has to be refused in its place.
+        A less urgent waiting execution that was removed to make room and has to be
+        refused.
     """
 
     __slots__ = ("displaced", "runs")
@@ -24,18 +25,18 @@
         self.displaced = displaced
 
 
-class Turns:
-    """At most so many running and so many waiting; the most urgent goes first.
+class RunQueue:
+    """Running and waiting executions within limits; the most urgent runs first.
 
     Parameters
     ----------
     settings : ExecutionSettings
-        The limits.
+        Limits of running and waiting executions.
 
     Attributes
     ----------
     running : set of Execution
-        Those that run.
+        The executions that run.
     """
 
     __slots__ = ("_sequence", "_settings", "_waiting", "running")
@@ -48,42 +49,42 @@
 
     @property
     def waiting_count(self):
-        """Number of those that wait."""
+        """Number of waiting executions."""
         return len(self._waiting)
 
     def waiting(self):
-        """Return those that wait, the most urgent first."""
+        """Return the waiting executions, the most urgent first."""
         return [execution for _, _, execution in self._waiting]
 
-    def place(self, execution):
-        """Let a request run or wait.
+    def admit(self, execution):
+        """Admit an execution to run at once or to wait.
 
         Returns
         -------
-        Placed or None
-            None if there is no room for it.
+        Placement or None
+            None if the queue is full of executions that are at least as urgent.
         """
-        if self._goes_first(execution) and self._may_run(execution):
+        if self._precedes_waiting(execution) and self._may_run(execution):
             self.running.add(execution)
-            return Placed(runs=True)
+            return Placement(runs=True)
         if self.waiting_count < self._settings.waiting_limit:
-            self._push(execution)
-            return Placed(runs=False)
+            self._enqueue(execution)
+            return Placement(runs=False)
         return self._displace(execution)
 
-    def _goes_first(self, execution):
+    def _precedes_waiting(self, execution):
         return not self._waiting or execution.priority < self._waiting[0][0]
 
     def _displace(self, execution):
         if not self._waiting or self._waiting[-1][0] <= execution.priority:
             return None
         _, _, displaced = self._waiting.pop()
-        self._push(execution)
-        return Placed(runs=False, displaced=displaced)
+        self._enqueue(execution)
+        return Placement(runs=False, displaced=displaced)
 
-    def _push(self, execution):
-        entry = (execution.priority, next(self._sequence), execution)
-        bisect.insort(self._waiting, entry)
+    def _enqueue(self, execution):
+        item = (execution.priority, next(self._sequence), execution)
+        bisect.insort(self._waiting, item)
 
     def _may_run(self, execution):
         limit = self._settings.running_limit
@@ -91,13 +92,13 @@
             limit += self._settings.urgent_running_limit
         return len(self.running) < limit
 
-    def leave(self, execution):
-        """Take out a request that ended, whether it ran or waited."""
+    def remove(self, execution):
+        """Remove an execution that ended, whether it ran or waited."""
         self.running.discard(execution)
-        self._waiting = [entry for entry in self._waiting if entry[2] is not execution]
+        self._waiting = [item for item in self._waiting if item[2] is not execution]
 
     def next_to_run(self):
-        """Return the next request that may run now, now counted as running, or None."""
+        """Move the next execution that may run to `running` and return it, or None."""
         if not self._waiting or not self._may_run(self._waiting[0][2]):
             return None
         _, _, execution = self._waiting.pop(0)
--- a/siskinthread/execution/_server.py
+++ b/siskinthread/execution/_server.py
@@ -1,4 +1,4 @@
-"""The server of an agent, which entries connect to."""
+"""Server of an agent, to which entries connect."""
 
 import curio
 
@@ -8,10 +8,10 @@
 from siskinthread.execution._keys import KeyRules
 from siskinthread.execution._ledger import Ledger
 from siskinthread.execution._link import Link
-from siskinthread.execution._load import LoadMonitor, Progress
+from siskinthread.execution._load import LoadMonitor, StallDetector
 from siskinthread.execution._metrics import ExecutionMetrics
+from siskinthread.execution._run_queue import RunQueue
 from siskinthread.execution._runner import Runner
-from siskinthread.execution._turns import Turns
 from siskinthread.observability import part_logger
 from siskinthread.outcomes import Reason
 from siskinthread.timing import Deadline
@@ -20,14 +20,14 @@
 ENTRY_ROLE = "entry"
 AGENT_ROLE = "agent"
 ACCEPT_RETRY_WAIT_S = 0.1
-DRAIN_LOOK_INTERVAL_S = 0.02
-LAST_ENDS_WAIT_S = 2.0
+DRAIN_POLL_INTERVAL_S = 0.02
+FINAL_DELIVERY_WAIT_S = 2.0
 
 _logger = part_logger("execution")
 
 
 class ExecutionParts:
-    """What the parts of an agent share."""
+    """Objects that the parts of an agent share."""
 
     __slots__ = (
         "clock",
@@ -61,7 +61,7 @@
     peer_settings : PeerSettings
         Keys, waits and limits of links.
     view : ConfigurationView
-        The configuration in force.
+        The configuration in force on this host.
     target : Target
         The target on this host.
     clock : Clock
@@ -69,7 +69,7 @@
     metrics : Metrics
         The process's metrics.
     control : siskinthread.control.LinkListener or None
-        Passes the configuration on over the links.
+        Exchanges the configuration with entries over the links.
 
     Attributes
     ----------
@@ -78,7 +78,7 @@
     handler : AttemptHandler
         Handles the frames of links.
     links : dict of str to Link
-        The present link of each entry, by its incarnation.
+        The current link of each entry, by the entry's incarnation.
     rank_service : siskinthread.experts.RankService or None
         Serves the controllers of the group whose rank runs on this host.
     """
@@ -86,7 +86,7 @@
     __slots__ = (
         "_connections",
         "_identity",
-        "_leave_deadline",
+        "_drain_deadline",
         "_listed_leaving",
         "_load",
         "_metrics",
@@ -119,29 +119,29 @@
         self.clock = clock
         self._metrics = ExecutionMetrics(metrics)
         parts = ExecutionParts(identity, settings, view, target, clock, self._metrics)
-        turns = Turns(settings)
-        progress = Progress(settings, clock)
+        run_queue = RunQueue(settings)
+        stall_detector = StallDetector(settings, clock)
         self._runner = Runner(
-            settings, target, parts.ledger, turns, progress, self._metrics
+            settings, target, parts.ledger, run_queue, stall_detector, self._metrics
         )
         key_rules = KeyRules(identity.host, settings, view, clock)
         self.handler = AttemptHandler(parts, self._runner, key_rules)
-        self._load = LoadMonitor(parts, turns, progress)
-        self._leave_deadline = None
+        self._load = LoadMonitor(parts, run_queue, stall_detector)
+        self._drain_deadline = None
         self._listed_leaving = False
         self._connections = set()
         self.links = {}
         self.answer_experts = None
         self.rank_service = None
-        self._metrics.watch(parts.ledger, turns, self.links)
+        self._metrics.watch(parts.ledger, run_queue, self.links)
 
     @property
     def leaving(self):
-        """Whether new work is refused."""
+        """Whether new requests are refused."""
         return self.handler.leaving
 
     def load_report(self):
-        """Return the `LoadReport` as of now."""
+        """Return the current `LoadReport`."""
         return self._load.report(self.leaving)
 
     async def run(self, listening_socket):
@@ -150,13 +150,13 @@
         Parameters
         ----------
         listening_socket : curio.io.Socket
-            A socket that listens.
+            A listening socket.
         """
         self._runner.open()
         try:
             async with curio.TaskGroup(wait=any) as group:
                 await group.spawn(self._accept, listening_socket)
-                await group.spawn(self._keep_house)
+                await group.spawn(self._run_housekeeping)
                 await group.spawn(self._load.run)
         finally:
             await self._runner.close()
@@ -169,8 +169,9 @@
             try:
                 socket, _ = await listening_socket.accept()
             except OSError as error:
-                # Out of descriptors: those in use go on, and some will be freed.
-                _logger.warning("Can't accept: %s.", error)
+                # Out of file descriptors: existing links keep working, and descriptors
+                # become free as links end.
+                _logger.warning("Can't accept a connection: %s.", error)
                 await curio.sleep(ACCEPT_RETRY_WAIT_S)
                 continue
             task = await curio.spawn(self._serve, socket, daemon=True)
@@ -186,7 +187,7 @@
         except ProtocolError as error:
             _logger.warning("Link refused: %s.", error)
         except Exception:
-            _logger.exception("Link failed inside.")
+            _logger.exception("Unexpected error on a link.")
         finally:
             await channel.close()
             self._connections.discard(await curio.current_task())
@@ -200,14 +201,14 @@
         if hello.role == AGENT_ROLE and self.rank_service is not None:
             await self.rank_service.serve(channel, frames)
         if hello.role != ENTRY_ROLE:
-            raise ProtocolError(f"{hello.host} is no entry")
+            raise ProtocolError(f"{hello.host} is not an entry")
         link = Link(channel, hello, self)
         await self._replace_link(link)
         _logger.info("Link of %s is up.", link.entry_host)
         try:
             await self.control.link_up(link)
-            if self._leave_deadline is not None:
-                await link.send_leaving(self._leave_deadline)
+            if self._drain_deadline is not None:
+                await link.send_leaving(self._drain_deadline)
             await link.run(frames)
         finally:
             self.handler.detach_link(link)
@@ -216,23 +217,28 @@
             await self.control.link_down(link)
 
     async def _replace_link(self, link):
-        # An entry that dials anew has given the older connection up.  A late frame of
-        # that one must not take an attempt back to where nobody reads.
-        older = self.links.get(link.entry_incarnation)
+        # An entry that dials again has given up its older connection.  A late frame
+        # must not attach an attempt to that connection again, as nobody reads from it.
+        previous = self.links.get(link.entry_incarnation)
         self.links[link.entry_incarnation] = link
-        if older is not None:
-            await older.shut_down()
+        if previous is not None:
+            await previous.shut_down()
 
-    async def _keep_house(self):
+    async def _run_housekeeping(self):
         while True:
             await self.handler.expire()
             await curio.sleep(self.settings.housekeeping_interval_s)
 
     def set_listed_leaving(self, leaving):
-        """Take in whether the host list shows this host as leaving.
+        """Set whether the host list marks this host as leaving.
 
-        It is not final: a host that was replaced under its old name finds its
-        predecessor's mark on the lagging list for a while.
+        The mark may be withdrawn: a host that replaces another host of the same name
+        sees the mark of its predecessor until the list catches up.
+
+        Parameters
+        ----------
+        leaving : bool
+            Whether the list marks this host.
         """
         if leaving == self._listed_leaving:
             return
@@ -241,39 +247,42 @@
         self._update_leaving()
 
     def _update_leaving(self):
-        self.handler.leaving = self._listed_leaving or self._leave_deadline is not None
+        self.handler.leaving = self._listed_leaving or self._drain_deadline is not None
 
     async def drain(self, deadline):
-        """Refuse new work and wait until what runs has ended and arrived.
+        """Refuse new requests and wait until all others have ended and been delivered.
 
         Parameters
         ----------
         deadline : Deadline
-            When to stop waiting.
+            When to cancel the requests that are left.
 
         Returns
         -------
         bool
-            Whether everything ended.
+            Whether all requests ended before the deadline.
         """
-        self._leave_deadline = deadline
+        self._drain_deadline = deadline
         self._update_leaving()
         for link in list(self.links.values()):
             await link.send_leaving(deadline)
-        # Start frames that crossed with the notice would die unread with the links; the
-        # entries could then only report that the outcome is unknown.
+        # Start frames that were sent before the notice arrived have to be read and
+        # refused.  If the links closed before that, the entries could only report that
+        # the outcome is unknown.
         notice = Deadline.after(self.clock, self.settings.leaving_notice_s)
         while not notice.passed():
-            await curio.sleep(DRAIN_LOOK_INTERVAL_S)
-        if await self._wait_until_quiet(deadline):
+            await curio.sleep(DRAIN_POLL_INTERVAL_S)
+        if await self._wait_until_drained(deadline):
             return True
         await self._runner.stop_all(Reason.LEAVING)
-        await self._wait_until_quiet(Deadline.after(self.clock, LAST_ENDS_WAIT_S))
+        await self._wait_until_drained(
+            Deadline.after(self.clock, FINAL_DELIVERY_WAIT_S)
+        )
         return False
 
-    async def _wait_until_quiet(self, deadline):
-        while not self.handler.is_quiet():
+    async def _wait_until_drained(self, deadline):
+        while not self.handler.is_drained():
             if deadline.passed():
                 return False
-            await curio.sleep(DRAIN_LOOK_INTERVAL_S)
+            await curio.sleep(DRAIN_POLL_INTERVAL_S)
         return True
--- a/siskinthread/execution/_start_rules.py
+++ b/siskinthread/execution/_start_rules.py
@@ -1,11 +1,11 @@
-"""Whether a request that the ledger does not know may run."""
+"""Checks whether a request of which the ledger has no record may run."""
 
 from siskinthread.execution._building import is_keyed
 from siskinthread.execution._keys import refused
 from siskinthread.outcomes import Reason
 
-# Refusals after which an entry may tell the caller of a key that it did not run.
-VOUCHED_REASONS = frozenset({Reason.DEADLINE_PASSED, Reason.LEAVING, Reason.OVERLOADED})
+# After these refusals an entry may report to the caller that the key did not run.
+NOT_RUN_REASONS = frozenset({Reason.DEADLINE_PASSED, Reason.LEAVING, Reason.OVERLOADED})
 
 
 class StartRules:
@@ -14,9 +14,9 @@
     Parameters
     ----------
     parts : ExecutionParts
-        What the parts of an agent share.
+        Objects that the parts of an agent share.
     key_rules : KeyRules
-        Tells whether the ledger vouches for a key.
+        Checks whether a missing record proves that a key did not run.
     """
 
     __slots__ = ("_key_rules", "_ledger", "_settings")
@@ -26,24 +26,25 @@
         self._ledger = parts.ledger
         self._key_rules = key_rules
 
-    def objection(self, message, attempt_id, leaving):
-        """Return the `End` that forbids to run a new request, or None.
+    def rejection(self, message, attempt_id, leaving):
+        """Return the `End` of a new request that must not run, or None.
 
         Parameters
         ----------
         message : StartRequest
-            The request; the ledger does not know it.
+            The request, of which the ledger has no record.
         attempt_id : AttemptId
-            The attempt that asks.
+            The attempt that sent the request.
         leaving : bool
             Whether this agent takes no new work.
         """
         keyed = is_keyed(message)
         if keyed:
-            # Whether the ledger vouches for the key comes before every "not run".
-            objection = self._key_objection(message, attempt_id)
-            if objection is not None:
-                return objection
+            # Goes before any "not run": if the key may have run in an earlier process,
+            # its outcome is unknown.
+            rejection = self._key_rejection(message, attempt_id)
+            if rejection is not None:
+                return rejection
         if leaving:
             return refused(Reason.LEAVING, "The target is leaving.")
         if message.time_left_ms <= 0:
@@ -52,28 +53,29 @@
             return overloaded(self._settings)
         return None
 
-    def _key_objection(self, message, attempt_id):
-        objection = self._key_rules.objection(message)
-        if objection is not None:
-            return objection
-        hold = self._ledger.hold(message.request_id, attempt_id)
-        if hold is None:
+    def _key_rejection(self, message, attempt_id):
+        rejection = self._key_rules.rejection(message)
+        if rejection is not None:
+            return rejection
+        block = self._ledger.find_block(message.request_id, attempt_id)
+        if block is None:
             return None
-        # It says nothing of the key, so the hold need not be prolonged for its sake.
+        # NOT_READY does not report the key as not run, so this refusal does not extend
+        # the block.
         return refused(
             Reason.NOT_READY,
             "The key was refused a moment ago.",
-            retry_after_s=hold.deadline.left_s(),
+            retry_after_s=block.deadline.left_s(),
         )
 
     def note_refusal(self, message, attempt_id, end):
-        """Hold a key that was refused on the ledger's word; see `KeyHold`."""
-        if is_keyed(message) and end.reason in VOUCHED_REASONS:
-            self._ledger.hold_key(message.request_id, attempt_id)
+        """Block a key that was reported as not run; see `KeyBlock`."""
+        if is_keyed(message) and end.reason in NOT_RUN_REASONS:
+            self._ledger.block_key(message.request_id, attempt_id)
 
 
 def overloaded(settings):
-    """Return the end of a request for which there is no room."""
+    """Return the end of a request that exceeds the limits of the agent."""
     return refused(
         Reason.OVERLOADED,
         "Too many requests wait at the target.",
--- a/siskinthread/execution/_status.py
+++ b/siskinthread/execution/_status.py
@@ -1,4 +1,4 @@
-"""HTTP towards operators' tools: ``/metrics``, ``/healthz`` and ``/readyz``."""
+"""HTTP server for operators' tools: ``/metrics``, ``/healthz`` and ``/readyz``."""
 
 import curio
 import h11
@@ -17,14 +17,14 @@
 
 
 class StatusServer:
-    """Answers one request for each connection.
+    """Answers one request per connection.
 
     Parameters
     ----------
     metrics : Metrics
         The process's metrics.
     unready_reason : callable
-        Returns why the process is not ready, None if it is.
+        Returns the reason why the process is not ready, or None if it is ready.
     """
 
     __slots__ = ("_metrics", "_unready_reason")
@@ -39,7 +39,7 @@
         Parameters
         ----------
         listening_socket : curio.io.Socket
-            A socket that listens.
+            A listening socket.
         """
         while True:
             socket, _ = await listening_socket.accept()
@@ -58,7 +58,7 @@
         request = await _receive_request(connection, socket)
         if request is None:
             return
-        status, content_type, body = self._find(request.target)
+        status, content_type, body = self._page(request.target)
         headers = [
             ("content-type", content_type),
             ("content-length", str(len(body))),
@@ -71,7 +71,7 @@
         data += connection.send(h11.EndOfMessage())
         await socket.sendall(data)
 
-    def _find(self, path):
+    def _page(self, path):
         if path == b"/metrics":
             return OK, METRICS_TYPE, self._metrics.render()
         if path == b"/healthz":
--- a/siskinthread/execution/tests/fakes.py
+++ b/siskinthread/execution/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A scripted target, a small entry, and a bench that joins them by loopback."""
+"""Scripted target, minimal entry, and a harness that connects them over loopback."""
 
 import curio
 
@@ -51,27 +51,27 @@
         self.hosts = list(hosts)
 
     def homes_at(self, service_name, issued_at_ms):
-        """Return the one set of homes."""
+        """Return the only version and its hosts."""
         return self.version, self.hosts
 
 
 class ScriptedTarget:
-    """A target whose responses the test writes."""
+    """A target whose responses are scripted by the test."""
 
     def __init__(self):
         self.calls = []
         self.resumed = []
         self.cancelled = []
         self.known = {}
-        self.begun = curio.Semaphore(0)
+        self.started_calls = curio.Semaphore(0)
 
     async def fetch_load(self):
-        """Return an idle target's load."""
+        """Return the load of an idle target."""
         return TargetLoad(0, 0, 8, 0)
 
 
 class ScriptedCall:
-    """A call whose events the test puts in."""
+    """A call whose events are queued by the test."""
 
     def __init__(self, target, request_id, request=None):
         self.target = target
@@ -82,9 +82,9 @@
         self.length_bytes = 0
 
     async def next_event(self):
-        """Return the next event of the script."""
+        """Return the next queued event, or raise it if it is an exception."""
         if self.request is not None and self.taken == 0:
-            await self.target.begun.release()
+            await self.target.started_calls.release()
         event = await self.events.get()
         self.taken += 1
         if isinstance(event, Exception):
@@ -92,16 +92,16 @@
         return event
 
     async def cancel(self):
-        """Note the cancellation."""
+        """Record the cancellation."""
         self.target.cancelled.append(self.request_id)
         return Outcome.FAILED_RAN
 
     async def head(self, status=200):
-        """Answer with a head."""
+        """Send a response head."""
         await self.events.put(Head(status, [("content-type", "text/plain")]))
 
     async def part(self, data):
-        """Answer with more of the body."""
+        """Send the next part of the body."""
         await self.events.put(Part(self.length_bytes, data))
         self.length_bytes += len(data)
 
@@ -110,7 +110,7 @@
         await self.events.put(End(outcome, reason, "", self.length_bytes))
 
     async def answer(self, body):
-        """Answer whole."""
+        """Send a whole response."""
         await self.head()
         await self.part(body)
         await self.end()
@@ -148,9 +148,9 @@
     return StartRequest(attempt=attempt, request_id=request_id, **fields)
 
 
-def keyed_request(bench, attempt=1, key="k-1", age_s=0.0, **values):
+def keyed_request(harness, attempt=1, key="k-1", age_s=0.0, **values):
     """Return a start frame with an idempotency key issued `age_s` ago."""
-    issued_at_ms = bench.clock.unix_ms() - round(age_s * 1000)
+    issued_at_ms = harness.clock.unix_ms() - round(age_s * 1000)
     defaults = {"idempotency_key": key, "issued_at_ms": issued_at_ms}
     return start_request(
         attempt, f"key/{SERVICE}/account-1/{key}", **(defaults | values)
@@ -183,16 +183,16 @@
         self.end = None
 
     @property
-    def word(self):
-        """Outcome and reason."""
+    def result(self):
+        """Outcome and reason of the end."""
         return Outcome(self.end.outcome), self.end.reason
 
 
 class FakeEntry:
     """One connection of an entry."""
 
-    def __init__(self, bench, incarnation):
-        self.bench = bench
+    def __init__(self, harness, incarnation):
+        self.harness = harness
         self.identity = Identity("entry-1", "domain-a", "entry", (), incarnation)
         self.channel = None
         self.pending = []
@@ -202,15 +202,15 @@
 
     async def connect(self):
         """Dial and authenticate."""
-        settings = self.bench.peer_settings
-        host, port = self.bench.address
+        settings = self.harness.peer_settings
+        host, port = self.harness.address
         self.channel = await open_channel(
             host, port, Frame, settings.frame_limit_bytes, settings.dial_wait_s
         )
         _, frames = await shake_hands(
             self.channel, self.identity, settings, dialled=True
         )
-        self._take(frames)
+        self._receive(frames)
         return self
 
     async def send(self, message):
@@ -228,37 +228,37 @@
         """Send an acknowledgement."""
         await self.send(Acknowledge(attempt, received_bytes, finished))
 
-    async def until(self, condition):
+    async def receive_until(self, condition):
         """Receive until a condition holds."""
         while not condition():
-            self._take(await self.channel.receive())
+            self._receive(await self.channel.receive())
 
-    async def ended(self, attempt=1):
-        """Receive until an attempt has its end, and return its `Answer`."""
+    async def receive_end(self, attempt=1):
+        """Receive until the end of an attempt, and return its `Answer`."""
         answer = self.answer(attempt)
-        await self.until(lambda: answer.end is not None)
+        await self.receive_until(lambda: answer.end is not None)
         return answer
 
-    async def received(self, attempt, length_bytes):
-        """Receive until so much of the body is there."""
+    async def receive_body(self, attempt, length_bytes):
+        """Receive until `length_bytes` of an attempt's body have arrived."""
         answer = self.answer(attempt)
-        await self.until(lambda: len(answer.body) >= length_bytes)
+        await self.receive_until(lambda: len(answer.body) >= length_bytes)
         return answer
 
-    async def settled(self):
-        """Return once the agent has handled all that was sent before.
+    async def sync(self):
+        """Wait until the agent has handled all frames that were sent before.
 
-        A cancellation of an attempt that never was is answered at once.
+        Cancels an attempt that does not exist, which the agent answers at once.
         """
         attempt = 1_000_000 + len(self.answers)
         await self.send(CancelRequest(attempt, f"none-{attempt}"))
-        await self.ended(attempt)
+        await self.receive_end(attempt)
 
     def answer(self, attempt):
         """Return the `Answer` of an attempt."""
         return self.answers.setdefault(attempt, Answer())
 
-    def _take(self, frames):
+    def _receive(self, frames):
         for frame in frames:
             message = message_of(frame)
             if isinstance(message, ResponseHead):
@@ -274,13 +274,13 @@
             else:
                 self.others.append(message)
 
-    async def cut(self):
-        """Lose the connection."""
+    async def disconnect(self):
+        """Close the connection."""
         await self.channel.close()
 
 
-class Bench:
-    """An agent server on loopback, with its clock in the test's hands."""
+class Harness:
+    """An agent server on loopback whose clock is advanced by the test."""
 
     def __init__(self, clock=None, incarnation="inc-1", **settings):
         defaults = {
@@ -308,7 +308,7 @@
             self.metrics,
         )
         self.ledger = self.server.handler._ledger
-        # Keys of a test's first moment are younger than the agent.
+        # Makes keys that are issued when the test begins younger than the agent.
         self.clock.advance(10.0)
         self.address = None
         self._task = None
@@ -332,18 +332,18 @@
         entry.identity.role = role
         return await entry.connect()
 
-    async def begun(self):
-        """Return the call of the target that begins next, once it has begun."""
-        await self.target.begun.acquire()
+    async def next_call(self):
+        """Wait until the next call of the target starts, and return the call."""
+        await self.target.started_calls.acquire()
         return self.target.calls[-1]
 
 
 def run(scenario, *arguments, **settings):
-    """Run ``scenario(bench, *arguments)`` within a bounded time."""
+    """Run ``scenario(harness, *arguments)`` with a time limit."""
 
     async def bounded():
-        async with Bench(**settings) as bench:
-            await scenario(bench, *arguments)
+        async with Harness(**settings) as harness:
+            await scenario(harness, *arguments)
 
     async def main():
         await curio.timeout_after(TEST_LIMIT_S, bounded)
@@ -351,10 +351,10 @@
     curio.run(main)
 
 
-async def lost(entry):
-    """Return whether the agent closes the connection."""
+async def is_disconnected(entry):
+    """Receive until the agent closes the connection, and return True."""
     try:
         while True:
-            entry._take(await entry.channel.receive())
+            entry._receive(await entry.channel.receive())
     except ConnectionLostError:
         return True
--- a/siskinthread/execution/tests/test_differential.py
+++ b/siskinthread/execution/tests/test_differential.py
@@ -1,4 +1,4 @@
-"""Ledger, buffers and links against a naive agent that keeps everything for ever."""
+"""Ledger, buffers and links compared with a reference model that discards nothing."""
 
 import curio
 from hypothesis import given, settings as hypothesis_settings, strategies as st
@@ -6,7 +6,7 @@
 from siskinthread.execution._link import Link
 from siskinthread.execution.tests.fakes import (
     Answer,
-    Bench,
+    Harness,
     keyed_request,
     resume_request,
     start_request,
@@ -29,8 +29,8 @@
 ROUNDS_LIMIT = 300
 
 
-class NaiveRequest:
-    """A request whose body is kept whole, and who still wants it from where."""
+class ModelRequest:
+    """A request with its whole body and the offset that each attempt acknowledged."""
 
     def __init__(self, keyed):
         self.keyed = keyed
@@ -40,7 +40,7 @@
         self.acknowledged = {}
 
     def acknowledge(self, attempt, received_bytes):
-        """Move an attempt on; without a key what all of them have is gone."""
+        """Advance an attempt; without a key, discard what all acknowledged."""
         self.acknowledged[attempt] = max(self.acknowledged[attempt], received_bytes)
         if not self.keyed:
             wanted = min(self.acknowledged.values())
@@ -48,53 +48,53 @@
 
 
 class Differential:
-    """Drives an agent server without sockets beside the naive one."""
+    """Drives an agent server without sockets, and the reference model beside it."""
 
-    def __init__(self, bench):
-        self.bench = bench
-        self.naive = {}
+    def __init__(self, harness):
+        self.harness = harness
+        self.model = {}
         self.links = {}
         self.answers = {}
         self.request_of = {}
         self.gone = set()
 
-    async def settle(self):
-        """Let the tasks of the runner take what the target said."""
+    async def run_tasks(self):
+        """Let the tasks of the runner handle the events of the target."""
         for _ in range(STEPS_FOR_TASKS):
             await curio.sleep(0)
 
     def connect(self, entry):
-        """Replace the connection of an entry; what was not read of it is lost."""
+        """Replace the connection of an entry; its unread frames are lost."""
         if entry in self.links:
-            self.bench.server.handler.detach_link(self.links[entry])
+            self.harness.server.handler.detach_link(self.links[entry])
         hello = Hello(host=entry, incarnation=entry)
-        self.links[entry] = Link(None, hello, self.bench.server)
+        self.links[entry] = Link(None, hello, self.harness.server)
 
     async def start(self, entry, number, name):
-        """Send a start frame, perhaps one that was sent before."""
+        """Send a start frame, which may be a repeated one."""
         attempt = (entry, number)
         name = self.request_of.setdefault(attempt, name)
         keyed = name.startswith("key/")
-        build = keyed_request if keyed else lambda bench, n: start_request(n, name)
-        message = build(self.bench, number)
+        build = keyed_request if keyed else lambda harness, n: start_request(n, name)
+        message = build(self.harness, number)
         message.window_bytes = WINDOW_BYTES
-        message.issued_at_ms = self.bench.clock.unix_ms()
+        message.issued_at_ms = self.harness.clock.unix_ms()
         if attempt not in self.answers:
             self.answers[attempt] = Answer()
-            naive = self.naive.setdefault(name, NaiveRequest(keyed))
-            if naive.base_bytes:
+            model = self.model.setdefault(name, ModelRequest(keyed))
+            if model.base_bytes:
                 self.gone.add(attempt)
             else:
-                naive.acknowledged[attempt] = 0
-        await self.bench.server.handler.start(message, self.links[entry])
+                model.acknowledged[attempt] = 0
+        await self.harness.server.handler.start(message, self.links[entry])
 
     async def lose(self, entry):
-        """Lose what was written to a connection, and reconnect."""
-        self.links[entry]._gather()
+        """Lose the frames that were written to a connection, and reconnect."""
+        self.links[entry]._take_batch()
         await self.reconnect(entry)
 
     async def reconnect(self, entry):
-        """Ask about all attempts over a new connection."""
+        """Resume all attempts that have no end over a new connection."""
         self.connect(entry)
         for attempt, answer in self.answers.items():
             if attempt[0] != entry or answer.end is not None:
@@ -105,67 +105,67 @@
                 len(answer.body),
                 window_bytes=WINDOW_BYTES,
             )
-            await self.bench.server.handler.resume(message, self.links[entry])
+            await self.harness.server.handler.resume(message, self.links[entry])
             if attempt not in self.gone:
-                naive = self.naive[self.request_of[attempt]]
-                naive.acknowledged[attempt] = max(
-                    naive.acknowledged[attempt], len(answer.body)
+                model = self.model[self.request_of[attempt]]
+                model.acknowledged[attempt] = max(
+                    model.acknowledged[attempt], len(answer.body)
                 )
 
     async def emit(self, name, data):
-        """Let the target say more of a body that it has begun."""
-        if name in self.naive and not self.naive[name].ended:
+        """Let the target send the next part of a body."""
+        if name in self.model and not self.model[name].ended:
             await self.call(name).part(data)
-            self.naive[name].body += data
-            await self.settle()
+            self.model[name].body += data
+            await self.run_tasks()
 
     async def end(self, name):
         """Let the target end a response."""
-        if name in self.naive and not self.naive[name].ended:
-            self.naive[name].ended = True
+        if name in self.model and not self.model[name].ended:
+            self.model[name].ended = True
             await self.call(name).end()
-            await self.settle()
+            await self.run_tasks()
 
     def call(self, name):
-        """Return the one call of a request."""
-        calls = [it for it in self.bench.target.calls if it.request_id == name]
+        """Return the only call of a request."""
+        calls = [it for it in self.harness.target.calls if it.request_id == name]
         assert len(calls) == 1
         return calls[0]
 
     def read(self, entry):
-        """Read what the connection of an entry brings."""
+        """Read the frames that are written to the connection of an entry."""
         decoder = FrameDecoder(Frame, 1 << 20)
-        for frame in decoder.feed(self.links[entry]._gather()):
+        for frame in decoder.feed(self.links[entry]._take_batch()):
             self.take(entry, message_of(frame))
 
     def take(self, entry, message):
-        """Check a message against the naive agent."""
+        """Check a message against the reference model."""
         attempt = (entry, message.attempt)
         answer = self.answers[attempt]
-        naive = self.naive[self.request_of[attempt]]
+        model = self.model[self.request_of[attempt]]
         if isinstance(message, ResponsePart):
             assert message.offset_bytes == len(answer.body)
             answer.body += message.data
-            assert naive.body.startswith(answer.body)
-            under_way = len(answer.body) - naive.acknowledged[attempt]
+            assert model.body.startswith(answer.body)
+            under_way = len(answer.body) - model.acknowledged[attempt]
             assert under_way <= WINDOW_BYTES
         elif isinstance(message, ResponseEnd):
             answer.end = message
 
     async def acknowledge(self, entry, number, back_bytes):
-        """Acknowledge what was read, or an earlier point again."""
+        """Acknowledge the bytes that were read, less `back_bytes`."""
         attempt = (entry, number)
         if attempt not in self.answers or attempt in self.gone:
             return
         received_bytes = max(0, len(self.answers[attempt].body) - back_bytes)
-        self.naive[self.request_of[attempt]].acknowledge(attempt, received_bytes)
+        self.model[self.request_of[attempt]].acknowledge(attempt, received_bytes)
         message = Acknowledge(number, received_bytes, False)
-        await self.bench.server.handler.acknowledge(message, self.links[entry])
-        await self.settle()
+        await self.harness.server.handler.acknowledge(message, self.links[entry])
+        await self.run_tasks()
 
     async def finish(self):
-        """Bring every attempt to its end and compare the answers."""
-        for name in list(self.naive):
+        """Receive the end of every attempt and compare the answers with the model."""
+        for name in list(self.model):
             await self.end(name)
         for entry in ENTRIES:
             await self.reconnect(entry)
@@ -176,13 +176,13 @@
                 self.read(entry)
                 await self.acknowledge(entry, number, 0)
         for attempt, answer in self.answers.items():
-            naive = self.naive[self.request_of[attempt]]
-            word = (Outcome(answer.end.outcome), answer.end.reason)
+            model = self.model[self.request_of[attempt]]
+            result = (Outcome(answer.end.outcome), answer.end.reason)
             if attempt in self.gone:
-                assert word == (Outcome.UNKNOWN, Reason.ANSWER_GONE)
+                assert result == (Outcome.UNKNOWN, Reason.ANSWER_GONE)
             else:
-                assert word == (Outcome.ANSWERED, Reason.COMPLETE)
-                assert answer.body == naive.body
+                assert result == (Outcome.ANSWERED, Reason.COMPLETE)
+                assert answer.body == model.body
 
 
 entries = st.sampled_from(ENTRIES)
@@ -202,15 +202,15 @@
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(steps, min_size=10, max_size=60))
 def test_against_naive_agent(script):
-    """Whatever is repeated, lost or late, every attempt gets the whole answer.
+    """Every attempt gets the whole answer though frames are repeated, lost or late.
 
-    Each request runs once, no attempt is sent beyond its window, and bytes that nobody
-    acknowledged are still there.
+    Each request runs once, no attempt is sent more than its window, and unacknowledged
+    bytes are never discarded.
     """
 
     async def main():
-        bench = Bench(stream_buffer_limit_bytes=12, part_limit_bytes=4)
-        driver = Differential(bench)
+        harness = Harness(stream_buffer_limit_bytes=12, part_limit_bytes=4)
+        driver = Differential(harness)
         for entry in ENTRIES:
             driver.connect(entry)
         for action, *arguments in script:
@@ -218,6 +218,6 @@
             if done is not None:
                 await done
         await driver.finish()
-        await bench.server._runner.close()
+        await harness.server._runner.close()
 
     curio.run(main)
--- a/siskinthread/execution/tests/test_status.py
+++ b/siskinthread/execution/tests/test_status.py
@@ -20,7 +20,7 @@
     ],
 )
 def test_pages(path, reason, status, body):
-    """Each page tells its state, and a broken request does not end the server."""
+    """Each page has its status and body; a malformed request doesn't end the server."""
 
     async def main():
         metrics = Metrics()
@@ -42,7 +42,7 @@
 
 
 async def exchange(address, data):
-    """Send bytes and return all that comes back."""
+    """Send bytes and return all bytes that are received in reply."""
     client = await curio.open_connection(*address)
     await client.sendall(data)
     answer = b""
