--- a/siskinthread/links/_agent_links.py
+++ b/siskinthread/links/_agent_links.py
@@ -1,4 +1,4 @@
-"""The links of one entry to all of its agents."""
+"""Links of an entry to all of its agents."""
 
 import itertools
 
@@ -15,7 +15,7 @@
 
 
 class AgentLinks:
-    """One link for each agent host.
+    """Links of an entry, one for each agent host.
 
     Parameters
     ----------
@@ -26,12 +26,19 @@
     clock : Clock
         The process's clock.
     metrics : siskinthread.observability.Metrics or None
-        Where the counters live.
+        Registry of the counters; without it nothing is counted.
     control : siskinthread.control.LinkListener or None
-        Passes the configuration on over the links.
+        Exchanges the configuration with agents over the links.
     """
 
-    __slots__ = ("_attempts", "_changed", "_links", "_settings", "_shared", "_tasks")
+    __slots__ = (
+        "_attempt_numbers",
+        "_changed",
+        "_links",
+        "_settings",
+        "_shared",
+        "_tasks",
+    )
 
     def __init__(self, identity, settings, clock, metrics, control=None):
         self._settings = settings
@@ -43,20 +50,20 @@
             DeadlineQueue(),
             control or LinkListener(),
         )
-        self._attempts = itertools.count(1)
+        self._attempt_numbers = itertools.count(1)
         self._links = {}
         self._tasks = {}
-        # May be set outside of a coroutine, since `reconcile` is called from listeners.
+        # Can be set outside of a coroutine, since `reconcile` is called by listeners.
         self._changed = curio.UniversalEvent()
 
     def reconcile(self, addresses):
-        """Take over the agents that are there.
+        """Add, move and retire links so that they match a set of agents.
 
         Parameters
         ----------
         addresses : dict
-            Host name to `Address`.  A host that is no longer in it keeps its link until
-            nothing is in flight there.
+            Host name to `Address`.  The link of a host that was removed is kept until
+            nothing is in flight on it.
         """
         for host, address in addresses.items():
             link = self._links.get(host)
@@ -64,7 +71,7 @@
                 self._links[host] = Link(host, address, self._shared)
                 continue
             link.retired = False
-            link.move_to(address)
+            link.set_address(address)
         for host, link in self._links.items():
             link.retired = host not in addresses
         self._changed.set()
@@ -75,11 +82,11 @@
         return None if link is None else link.status
 
     def connected_hosts(self):
-        """Return the names of the hosts that may be sent new requests now."""
+        """Return the names of the hosts to which new requests may be sent."""
         return [host for host, link in self._links.items() if link.usable]
 
     async def wait_until_connected(self, deadline):
-        """Wait until some host may be sent new requests.
+        """Wait until new requests may be sent to some host.
 
         Parameters
         ----------
@@ -94,7 +101,7 @@
         Notes
         -----
         An entry that was paused for longer than the silence limit finds all of its
-        links closed when it wakes, and has new ones some milliseconds later.
+        links closed when it resumes, and has new links some milliseconds later.
         """
         connected = self._shared.connected
         while not any(link.usable for link in self._links.values()):
@@ -112,37 +119,37 @@
         host : str
             Name of the host.
         start_request : StartRequest
-            Complete but for its attempt, window and time left, which are set here.
+            The request; its attempt, window and time left are set here.
         deadline : Deadline
-            When the answer must be there.
+            When the whole answer must have arrived.
 
         Returns
         -------
         Exchange
         """
-        start_request.attempt = next(self._attempts)
+        start_request.attempt = next(self._attempt_numbers)
         start_request.window_bytes = self._settings.window_bytes
         start_request.time_left_ms = deadline.left_ms()
         link = self._links.get(host)
         exchange = Exchange(link, start_request, deadline)
         if deadline.passed():
-            exchange.finish(exchange.broken_end(Reason.DEADLINE_PASSED))
-        elif self._is_too_long(start_request):
-            exchange.finish(exchange.broken_end(Reason.BAD_REQUEST))
+            exchange.finish(exchange.aborted_end(Reason.DEADLINE_PASSED))
+        elif self._exceeds_frame_limit(start_request):
+            exchange.finish(exchange.aborted_end(Reason.BAD_REQUEST))
         elif link is None:
             exchange.finish(exchange.unreachable_end())
         else:
             await link.add(exchange)
         return exchange
 
-    def _is_too_long(self, start_request):
-        # The agent would close the connection over such a frame, and every other
-        # request on it would have to be resumed.
+    def _exceeds_frame_limit(self, start_request):
+        # The agent would close the connection on such a frame, and all other requests
+        # on the connection would have to be resumed.
         length_bytes = len(encode_frame(Frame(start=start_request)))
         return length_bytes > self._settings.frame_limit_bytes
 
     async def run(self):
-        """Run the links until cancelled; one task for each agent."""
+        """Run the links until cancelled, with one task for each agent."""
         deadlines_task = await curio.spawn(self._shared.deadlines.run, daemon=True)
         try:
             while True:
@@ -161,7 +168,7 @@
 
     async def _run_link(self, link):
         # Nothing may be awaited between the end of the link and its removal: a host
-        # that came back in between would be left with a link that no task serves.
+        # that is added again in between would keep a link that no task serves.
         try:
             await link.run()
         finally:
--- a/siskinthread/links/_deadline_queue.py
+++ b/siskinthread/links/_deadline_queue.py
@@ -1,7 +1,7 @@
-"""One task that ends whatever passes its deadline.
+"""Queue of deadlines that a single task serves.
 
-A timeout of curio for each wait would cost four traps for every token of every stream;
-here a deadline costs one heap entry for each attempt.
+A curio timeout for each wait would cost four traps for every token of every stream.
+Here a deadline costs one heap entry for each attempt.
 """
 
 import heapq
@@ -17,46 +17,47 @@
 class DeadlineQueue:
     """Calls ``await expiring.expire(deadline)`` when a deadline passes.
 
-    Entries aren't taken out early: the one that expires has to find out by itself
-    whether the deadline still matters.
+    Deadlines are never removed early: `expire` has to check whether the deadline still
+    applies.
     """
 
-    __slots__ = ("_heap", "_sequence", "_sooner")
+    __slots__ = ("_heap", "_sequence", "_earliest_changed")
 
     def __init__(self):
         self._heap = []
         self._sequence = itertools.count()
-        self._sooner = curio.Event()
+        self._earliest_changed = curio.Event()
 
     async def add(self, deadline, expiring):
-        """Have `expiring` told when `deadline` passes.
+        """Schedule a call of ``expiring.expire(deadline)`` when `deadline` passes.
 
         Parameters
         ----------
         deadline : Deadline
-            The deadline.
+            When to call.
         expiring : object
-            Has an ``async expire(deadline)`` that does not block.
+            Has a method ``async expire(deadline)`` that does not block.
         """
-        entry = (deadline.at_s, next(self._sequence), deadline, expiring)
-        heapq.heappush(self._heap, entry)
-        if self._heap[0] is entry:
-            await self._sooner.set()
+        item = (deadline.at_s, next(self._sequence), deadline, expiring)
+        heapq.heappush(self._heap, item)
+        if self._heap[0] is item:
+            await self._earliest_changed.set()
 
     async def run(self):
         """Serve deadlines until cancelled."""
         while True:
-            self._sooner.clear()
+            self._earliest_changed.clear()
             if not self._heap:
-                await self._sooner.wait()
+                await self._earliest_changed.wait()
                 continue
             left_s = self._heap[0][2].left_s()
             if left_s > 0:
-                await curio.ignore_after(left_s, self._sooner.wait)
+                await curio.ignore_after(left_s, self._earliest_changed.wait)
                 continue
             _, _, deadline, expiring = heapq.heappop(self._heap)
             try:
                 await expiring.expire(deadline)
             except Exception:
-                # Without this, one error would leave every later deadline unserved.
-                logger.exception("Error at a deadline.")
+                # Without this, an error would end the task, and no later deadline would
+                # be served.
+                logger.exception("Unexpected error while serving a deadline.")
--- a/siskinthread/links/_dialling.py
+++ b/siskinthread/links/_dialling.py
@@ -1,4 +1,4 @@
-"""Dial an agent and authenticate both ends."""
+"""Dialling an agent, with mutual authentication and back-off."""
 
 import random
 
@@ -9,8 +9,8 @@
 
 AGENT_ROLE = "agent"
 FIRST_REDIAL_WAIT_S = 0.05
-LONGEST_REDIAL_WAIT_S = 1.0
-DOUBLINGS_LIMIT = 10
+MAX_REDIAL_WAIT_S = 1.0
+BACK_OFF_DOUBLINGS_LIMIT = 10
 
 
 async def dial_agent(host, address, shared):
@@ -21,21 +21,21 @@
     host : str
         Name of the agent's host.
     address : Address
-        Where it listens.
+        Where the agent listens.
     shared : SharedParts
         Identity and settings.
 
     Returns
     -------
     tuple
-        The channel, and the frames that arrived right behind the handshake.
+        The channel, and the frames that arrived together with the handshake.
 
     Raises
     ------
     ConnectionLostError
         If the agent can't be reached in time.
     ProtocolError
-        If the peer is not that agent.
+        If the handshake fails or the peer is not the agent of `host`.
     """
     settings = shared.settings
     channel = await open_channel(
@@ -57,20 +57,25 @@
 
 
 async def back_off(dial_failures):
-    """Wait before the next dial, longer after each failure in a row, within a bound.
+    """Wait before the next dial, with capped exponential back-off and full jitter.
+
+    Parameters
+    ----------
+    dial_failures : int
+        Number of consecutive failures.
 
     Notes
     -----
-    The full range is drawn from: entries that lost an agent at the same moment would
-    else dial it at the same moment too, again and again.
+    Without the jitter, entries that lost an agent at the same time would also dial it
+    at the same time, again and again.
     """
-    doubled = FIRST_REDIAL_WAIT_S * 2 ** min(dial_failures, DOUBLINGS_LIMIT)
-    await curio.sleep(random.uniform(0, min(doubled, LONGEST_REDIAL_WAIT_S)))
+    doubled = FIRST_REDIAL_WAIT_S * 2 ** min(dial_failures, BACK_OFF_DOUBLINGS_LIMIT)
+    await curio.sleep(random.uniform(0, min(doubled, MAX_REDIAL_WAIT_S)))
 
 
 def _check_peer(hello, host):
-    # An address may be given to another host before the host list shows it.  Requests
-    # for this host would run on the wrong target, and those with a key beside their
-    # home.
+    # An address may be reassigned to another host before the host list shows it.
+    # Without this check, requests would run on the wrong target, and requests with a
+    # key would run on a host that is not their home.
     if hello.role != AGENT_ROLE or hello.host != host:
         raise HandshakeError(f"{hello.role} {hello.host} answered for {host}")
--- a/siskinthread/links/_metrics.py
+++ b/siskinthread/links/_metrics.py
@@ -2,7 +2,7 @@
 
 
 class _NullCounter:
-    """Stands in for a counter where a process keeps no metrics."""
+    """Replaces a counter in a process without metrics."""
 
     __slots__ = ()
 
@@ -16,7 +16,7 @@
     Parameters
     ----------
     metrics : siskinthread.observability.Metrics or None
-        Where the counters live; without it nothing is counted.
+        Registry of the counters; without it nothing is counted.
     """
 
     __slots__ = (
--- a/siskinthread/links/_outbox.py
+++ b/siskinthread/links/_outbox.py
@@ -1,8 +1,8 @@
-"""Frames that wait to be written to one connection, and the task that writes them.
+"""Queue of frames for one connection, and the task that writes them.
 
-Only this task writes.  If the tasks of requests wrote themselves, one that is
-cancelled in the middle of a frame would leave half of it on the connection, and the
-agent would read the next frame from the wrong place.
+Only this task writes to the connection.  If a request's task wrote and were cancelled
+in the middle of a frame, half of the frame would remain on the connection and the agent
+would read the next frame from the wrong offset.
 """
 
 import functools
@@ -24,13 +24,13 @@
 def frames_of(item, incarnation):
     """Return the frames to write for an item of an outbox.
 
-    Called when the item's turn has come, so that a time left is exact and a withdrawn
-    request leaves nothing.
+    Called just before the write, so that the time left is exact and nothing is written
+    for an exchange that has ended.
 
     Parameters
     ----------
     item : object
-        A `Frame`, or an `Exchange` that is to be opened on the connection.
+        A `Frame`, or an `Exchange` that is to be started or resumed.
     incarnation : str
         Incarnation of the agent at the other end.
     """
@@ -54,7 +54,7 @@
     clock : Clock
         The process's clock.
     control : siskinthread.control.LinkListener
-        Says which configuration this process holds.
+        Gives the configuration offset of this process for heartbeats.
     """
 
     __slots__ = (
@@ -66,7 +66,7 @@
         "_items",
         "_settings",
         "_wakeup",
-        "_writer_waits",
+        "_writer_is_waiting",
     )
 
     def __init__(self, channel, settings, clock, control):
@@ -76,28 +76,28 @@
         self._clock = clock
         self._items = deque()
         self._wakeup = curio.Event()
-        self._writer_waits = False
+        self._writer_is_waiting = False
         self._heartbeat_due = Deadline.after(clock, 0)
         self._heartbeat_sequence = 0
 
     async def put(self, item):
-        """Queue a `Frame` or an `Exchange`; doesn't wait for the write."""
+        """Queue a `Frame` or an `Exchange` without waiting for the write."""
         self._items.append(item)
-        if self._writer_waits:
-            self._writer_waits = False
+        if self._writer_is_waiting:
+            self._writer_is_waiting = False
             await self._wakeup.set()
 
     async def put_heartbeat(self):
-        """Have a heartbeat written at once."""
+        """Queue a heartbeat that is written at once."""
         self._heartbeat_due = Deadline.after(self._clock, 0)
-        if self._writer_waits:
-            self._writer_waits = False
+        if self._writer_is_waiting:
+            self._writer_is_waiting = False
             await self._wakeup.set()
 
-    def leftover_finished(self):
-        """Return the finishing acknowledgements that were never written."""
+    def unsent_finished_frames(self):
+        """Return the queued acknowledgements that let the agent forget attempts."""
         frames = [item for item in self._items if isinstance(item, Frame)]
-        return [frame for frame in frames if _lets_forget(frame)]
+        return [frame for frame in frames if _is_finishing(frame)]
 
     async def run(self):
         """Write until cancelled or until the connection fails."""
@@ -109,11 +109,11 @@
                 else:
                     await self._wait()
         except ConnectionLostError:
-            # The reading side may not notice by itself that writes fail; the shutdown
-            # makes its receive return.
+            # The reader may not notice that writes fail; the shutdown makes its receive
+            # return.
             await self._channel.shut_down()
         except Exception:
-            logger.exception("Error while writing to an agent.")
+            logger.exception("Unexpected error while writing to an agent.")
             await self._channel.shut_down()
 
     def _add_heartbeat_if_due(self):
@@ -141,10 +141,10 @@
 
     async def _wait(self):
         self._wakeup.clear()
-        self._writer_waits = True
+        self._writer_is_waiting = True
         await curio.ignore_after(self._heartbeat_due.left_s(), self._wakeup.wait)
-        self._writer_waits = False
+        self._writer_is_waiting = False
 
 
-def _lets_forget(frame):
+def _is_finishing(frame):
     return frame.acknowledge is not None and frame.acknowledge.finished
--- a/siskinthread/links/_receiving.py
+++ b/siskinthread/links/_receiving.py
@@ -1,4 +1,4 @@
-"""What a link does with each kind of frame from its agent."""
+"""Handling of each kind of frame from an agent."""
 
 import functools
 
@@ -19,14 +19,14 @@
 
 
 async def receive_frames(frames, link):
-    """Take over the frames of one read and wake the request tasks that have news.
+    """Handle the frames of one read and wake the request tasks that have new events.
 
     Parameters
     ----------
     frames : list of Frame
-        In the order of their arrival.
+        The frames in the order of their arrival.
     link : Link
-        The link on which they came.
+        The link on which the frames arrived.
 
     Raises
     ------
@@ -40,8 +40,8 @@
             part = frame.part
             if part is None:
                 message = message_of(frame)
-                # Nothing is set when a newer agent sends a kind of frame that this
-                # version does not know.
+                # No field is set if an agent of a newer version sends a kind of frame
+                # that this version does not know.
                 if message is not None:
                     await receive(message, link)
                 continue
@@ -51,37 +51,38 @@
             try:
                 new = exchange.receive_part(part)
             except ProtocolError:
-                if not exchange.gap_repeats():
+                if not exchange.note_gap():
                     raise
-                # A new connection and a resume brought the same gap again.  Replacing
-                # the connection for ever would break every other stream on it.
+                # The same gap came again after a new connection and a resume.
+                # Replacing the connection again and again would break all other streams
+                # on it.
                 await link.abandon(exchange, _answer_gone())
                 continue
             if not new:
                 link.metrics.repeated_frames.inc()
             elif part.offset_bytes:
-                batch.add(exchange.place)
+                batch.add(exchange.waiter)
             else:
-                batch.add_first(exchange.place)
+                batch.add_priority(exchange.waiter)
     finally:
         await batch.wake()
 
 
 @functools.singledispatch
 async def receive(message, link):
-    """Take over one message from the agent.
+    """Handle one message from the agent.
 
     Parameters
     ----------
     message : object
         The set field of a `Frame`.
     link : Link
-        The link on which it came.
+        The link on which the message arrived.
 
     Raises
     ------
     ProtocolError
-        If an agent may not send the message.
+        If an agent may not send this kind of message.
     """
     raise ProtocolError(f"an agent may not send {type(message).__name__}")
 
@@ -103,7 +104,7 @@
     if load is None:
         return
     if None in (load.running, load.waiting, load.capacity):
-        raise ProtocolError("a load report without figures")
+        raise ProtocolError("LoadReport without running, waiting or capacity")
     link.note_load(load)
 
 
@@ -118,7 +119,7 @@
     if exchange is None:
         return
     if exchange.receive_head(message):
-        await exchange.place.wake()
+        await exchange.waiter.wake()
     else:
         link.metrics.repeated_frames.inc()
 
@@ -129,17 +130,17 @@
     if exchange is None:
         await link.finish_cancelled(message.attempt)
         return
-    end = _end_of(message)
-    if end.outcome == Outcome.ANSWERED and not exchange.is_whole(end.length_bytes):
-        if not exchange.asked_for_rest:
-            exchange.asked_for_rest = True
-            await link.ask_again(exchange)
+    end = _decode_end(message)
+    if end.outcome == Outcome.ANSWERED and not exchange.is_complete(end.length_bytes):
+        if not exchange.rest_requested:
+            exchange.rest_requested = True
+            await link.request_rest(exchange)
             return
         end = _answer_gone()
     await link.end(exchange, end)
 
 
-def _end_of(message):
+def _decode_end(message):
     try:
         outcome = Outcome(message.outcome)
     except ValueError as error:
@@ -149,20 +150,20 @@
         retry_after_s = message.retry_after_ms / MILLISECONDS_PER_SECOND
     return End(
         outcome,
-        _reason_of(message.reason),
+        _decode_reason(message.reason),
         message.message or "",
         message.length_bytes or 0,
         retry_after_s,
     )
 
 
-def _reason_of(word):
-    # An agent of a newer version may give a reason that this version does not know;
-    # the outcome counts, and it must not be lost over the word.
+def _decode_reason(text):
+    # An agent of a newer version may send a reason that this version does not know.
+    # The outcome matters more than the reason and must not be lost.
     try:
-        return Reason(word)
+        return Reason(text)
     except ValueError:
-        return word or ""
+        return text or ""
 
 
 def _answer_gone():
--- a/siskinthread/links/_shared.py
+++ b/siskinthread/links/_shared.py
@@ -1,10 +1,10 @@
-"""What all links of a process share."""
+"""Objects that all links of a process share."""
 
 import curio
 
 
 class SharedParts:
-    """What all links of a process share.
+    """Objects that all links of a process share.
 
     Parameters
     ----------
@@ -17,14 +17,14 @@
     metrics : LinkMetrics
         Counters.
     deadlines : DeadlineQueue
-        Ends what passes its deadline.
+        Expires exchanges and links whose deadline passes.
     control : siskinthread.control.LinkListener
-        Hears of connections and of what agents say of their configuration.
+        Notified of connections and of the agents' configuration messages.
 
     Attributes
     ----------
     connected : curio.Event
-        Set whenever a connection comes up.
+        Set whenever a connection is established.
     """
 
     __slots__ = (
--- a/siskinthread/links/_status.py
+++ b/siskinthread/links/_status.py
@@ -1,32 +1,32 @@
-"""What the rest of an entry sees of one link."""
+"""Status of one link, as the rest of an entry reads it."""
 
 
 class LinkStatus:
-    """State of the link to one agent; the link keeps it up to date.
+    """Status of the link to one agent, updated by the link.
 
     Attributes
     ----------
     host : str
         Name of the agent's host.
     connected : bool
-        Whether an authenticated connection is up.
+        Whether an authenticated connection is established.
     leaving : bool
-        Whether the agent said that it takes no new work.
+        Whether the agent takes no new requests.
     load : LoadReport or None
-        The newest report of the agent.
+        The latest report of the agent.
     load_received_at_s : float or None
-        When it arrived, monotonic seconds.
+        When the report arrived, in seconds of the monotonic clock.
     incarnation : str or None
-        Incarnation of the agent at the newest connection.
+        Incarnation of the agent at the latest connection.
     incarnations_seen : int
-        How many incarnations of the agent the link has met.
+        Number of incarnations of the agent to which the link has connected.
     services : list of str
-        Services that the agent stands before.
+        Services that the agent serves.
     """
 
     __slots__ = (
         "_in_flight",
-        "_said_leaving",
+        "_leaving_announced",
         "connected",
         "host",
         "incarnation",
@@ -39,7 +39,7 @@
 
     def __init__(self, host, in_flight):
         self._in_flight = in_flight
-        self._said_leaving = False
+        self._leaving_announced = False
         self.host = host
         self.connected = False
         self.leaving = False
@@ -51,30 +51,30 @@
 
     @property
     def outstanding(self):
-        """Exchanges of this entry on the link that have not ended."""
+        """Number of exchanges of this entry on the link that have not ended."""
         return len(self._in_flight)
 
     def note_connection(self, hello):
-        """Take over what the agent's `Hello` says."""
+        """Update the status from the agent's `Hello` on a new connection."""
         if hello.incarnation != self.incarnation:
             self.incarnations_seen += 1
             self.load = None
             self.load_received_at_s = None
         self.connected = True
         self.leaving = False
-        self._said_leaving = False
+        self._leaving_announced = False
         self.incarnation = hello.incarnation
         self.services = list(hello.services or ())
 
     def note_load(self, load, now_s):
-        """Take over a `LoadReport`."""
+        """Record a `LoadReport` that arrived at `now_s`."""
         self.load = load
         self.load_received_at_s = now_s
-        # A mark on the host list may be taken back, and the report follows it; an agent
-        # that sent Leaving never returns.
-        self.leaving = self._said_leaving or load.leaving
+        # The report follows the host list, whose mark may be withdrawn.  An agent that
+        # sent Leaving never returns.
+        self.leaving = self._leaving_announced or load.leaving
 
     def note_leaving(self):
-        """Take over a `Leaving`, final for the connection."""
-        self._said_leaving = True
+        """Record a `Leaving`, which is final for the connection."""
+        self._leaving_announced = True
         self.leaving = True
--- a/siskinthread/links/tests/conftest.py
+++ b/siskinthread/links/tests/conftest.py
@@ -9,6 +9,6 @@
 
 @pytest.fixture(scope="module", autouse=True)
 def quick_redial():
-    """Keep the back-off between dials, but make it short."""
+    """Shorten the back-off between dials."""
     with mock.patch.object(_dialling, "FIRST_REDIAL_WAIT_S", 0.0005):
         yield
--- a/siskinthread/links/tests/fake_agent.py
+++ b/siskinthread/links/tests/fake_agent.py
@@ -1,4 +1,4 @@
-"""A small agent for tests that follows docs/protocol.md and can be told to fail."""
+"""Minimal agent for tests that follows docs/protocol.md and can be made to fail."""
 
 import curio
 
@@ -24,11 +24,11 @@
 
 HOST = "agent-1"
 PART_SIZE_BYTES = 7
-HOLD_POLL_S = 0.005
+HANDSHAKE_POLL_S = 0.005
 
 
 def peer_settings(**values):
-    """Return settings with short waits."""
+    """Return settings with short waits, except for the given values."""
     defaults = {
         "keys": [Key("k1", "secret one")],
         "heartbeat_interval_s": 0.02,
@@ -40,7 +40,7 @@
 
 
 def start_request(request_id="r-1", **values):
-    """Return a complete request but for what the links fill in."""
+    """Return a request, complete except for the fields that the links set."""
     defaults = {
         "service_name": "triage-llm",
         "account": "account-1",
@@ -56,11 +56,11 @@
 
 
 class CutConnectionError(Exception):
-    """Tells the fake to close the connection."""
+    """Raised to make the fake agent close the connection."""
 
 
 class Execution:
-    """What the fake knows of one request."""
+    """State of one request at the fake agent."""
 
     def __init__(self, attempt, window_bytes):
         self.attempt = attempt
@@ -71,7 +71,7 @@
 
 
 class FakeAgent:
-    """Answers every request with `body`.
+    """An agent that answers every request with `body`.
 
     Parameters
     ----------
@@ -80,8 +80,10 @@
     body : bytes
         The body of every response.
     transmit : callable or None
-        ``async transmit(agent, channel, frame)`` writes a frame of a response; a test
-        puts losses in there.
+        ``async transmit(agent, channel, frame)`` writes a frame of a response; tests
+        inject losses by it.
+    incarnation : str
+        Incarnation of the agent, until `replace`.
     """
 
     def __init__(self, settings, body=b"", transmit=None, incarnation="i-1"):
@@ -96,8 +98,8 @@
         self.refused = set()
         self.sends_heartbeats = True
         self.answers = True
-        # Whether a new connection has to wait before it is greeted.
-        self.holds_dials = False
+        # Whether the handshake of new connections is delayed.
+        self.delays_handshakes = False
         self.counts_resume_as_acknowledged = False
         self.changed = curio.Condition()
         self.socket = curio.socket.socket()
@@ -106,7 +108,7 @@
         self.address = Address(*self.socket.getsockname())
 
     def replace(self, incarnation):
-        """Forget everything, as a new process does."""
+        """Take another incarnation and drop all requests, like a new process."""
         self.identity.incarnation = incarnation
         self.executions = {}
         self.refused = set()
@@ -116,7 +118,7 @@
         return [message for message in self.received if isinstance(message, kind)]
 
     async def wait_until(self, condition):
-        """Wait until `condition(agent)` holds after a received message."""
+        """Wait until `condition(agent)` is true, checked after each message."""
         async with self.changed:
             while not condition(self):
                 await self.changed.wait()
@@ -130,15 +132,15 @@
 
     async def _serve(self, socket):
         channel = Channel(socket, Frame, self.settings.frame_limit_bytes)
-        beats = None
-        while self.holds_dials:
-            await curio.sleep(HOLD_POLL_S)
+        heartbeat_task = None
+        while self.delays_handshakes:
+            await curio.sleep(HANDSHAKE_POLL_S)
         try:
             _, frames = await shake_hands(
                 channel, self.identity, self.settings, dialled=False
             )
             self.connections += 1
-            beats = await curio.spawn(self._beat, channel)
+            heartbeat_task = await curio.spawn(self._send_heartbeats, channel)
             while True:
                 for frame in frames:
                     await self._handle(message_of(frame), channel)
@@ -146,11 +148,11 @@
         except (ConnectionLostError, ProtocolError, CutConnectionError):
             pass
         finally:
-            if beats is not None:
-                await beats.cancel()
+            if heartbeat_task is not None:
+                await heartbeat_task.cancel()
             await channel.close()
 
-    async def _beat(self, channel):
+    async def _send_heartbeats(self, channel):
         load = LoadReport(1, 0, 8, 5, False, False)
         while True:
             if self.sends_heartbeats:
@@ -180,7 +182,7 @@
         execution = Execution(message.attempt, message.window_bytes)
         self.executions[message.request_id] = execution
         await self._send_head(execution, channel)
-        await self._pump(execution, channel)
+        await self._send_parts(execution, channel)
 
     async def _on_ResumeRequest(self, message, channel):  # noqa: N802
         execution = self.executions.get(message.request_id)
@@ -193,13 +195,13 @@
             execution.acknowledged_bytes = message.offset_bytes
         if not message.head_received:
             await self._send_head(execution, channel)
-        await self._pump(execution, channel)
+        await self._send_parts(execution, channel)
 
     async def _on_Acknowledge(self, message, channel):  # noqa: N802
         for execution in self.executions.values():
             if execution.attempt == message.attempt and not message.finished:
                 execution.acknowledged_bytes = message.received_bytes
-                await self._pump(execution, channel)
+                await self._send_parts(execution, channel)
 
     async def _answer_unknown(self, message, channel):
         if message.sent_to_incarnation == self.identity.incarnation:
@@ -222,7 +224,7 @@
         head = ResponseHead(execution.attempt, 200, headers)
         await self.transmit(self, channel, Frame(head=head))
 
-    async def _pump(self, execution, channel):
+    async def _send_parts(self, execution, channel):
         limit = min(
             len(self.body), execution.acknowledged_bytes + execution.window_bytes
         )
@@ -241,7 +243,7 @@
 
 
 async def plain_transmit(agent, channel, frame):
-    """Write a frame of a response faithfully."""
+    """Write a frame of a response without faults."""
     await channel.send(frame)
 
 
--- a/siskinthread/links/tests/harness.py
+++ b/siskinthread/links/tests/harness.py
@@ -1,4 +1,4 @@
-"""Runs a fake agent and the links of an entry in one kernel."""
+"""Runs a fake agent and the links of an entry in one curio kernel."""
 
 import contextlib
 
@@ -15,13 +15,13 @@
 
 
 def deadline_after(wait_s=REQUEST_DEADLINE_S):
-    """Return a deadline on the system's clock."""
+    """Return a deadline on the system clock."""
     return Deadline.after(SYSTEM_CLOCK, wait_s)
 
 
 @contextlib.asynccontextmanager
 async def running_links(agent, settings=None, metrics=None):
-    """Run links to `agent`; yields the `AgentLinks`."""
+    """Run a fake agent and links to it; yields the `AgentLinks`."""
     identity = Identity("entry-1", "domain-a", "entry")
     links = AgentLinks(identity, settings or agent.settings, SYSTEM_CLOCK, metrics)
     links.reconcile({HOST: agent.address})
@@ -34,12 +34,12 @@
 
 
 async def wait_connected(links):
-    """Wait until the link to the fake is up."""
+    """Wait until the link to the fake agent is connected."""
     assert await links.wait_until_connected(deadline_after())
 
 
 class Received:
-    """Everything that an exchange delivered."""
+    """The head, body and end that an exchange returned."""
 
     def __init__(self):
         self.head = None
@@ -48,7 +48,7 @@
 
 
 async def drain(exchange):
-    """Take every event of an exchange and check that they are gapless.
+    """Receive all events of an exchange and check that the body has no gaps.
 
     Returns
     -------
@@ -70,5 +70,5 @@
 
 
 def run(test, *arguments):
-    """Run the coroutine function of a test with an upper limit of time."""
+    """Run the coroutine function of a test with a time limit."""
     return curio.run(curio.timeout_after, TEST_LIMIT_S, test, *arguments)
--- a/siskinthread/links/tests/relay_benchmark.py
+++ b/siskinthread/links/tests/relay_benchmark.py
@@ -1,13 +1,13 @@
-"""Measures the processor time that the links need for each relayed token.
+"""Measures the CPU time that the links need for each relayed token.
 
 Run the two sides as two processes::
 
     python -m siskinthread.links.tests.relay_benchmark agents 7101 5120
     python -m siskinthread.links.tests.relay_benchmark entry 7101 10
 
-The first argument is the first port, one for each agent; the second is the rate in
-tokens a second over all streams, or the seconds to measure.  The entry prints tokens a
-second, the share of a core, and microseconds of processor time for each token.
+The first argument is the first port; each agent has its own.  The second is the rate in
+tokens per second over all streams, or the seconds to measure.  The entry prints tokens
+per second, the share of a core, and microseconds of CPU time per token.
 """
 
 import contextlib
@@ -43,7 +43,7 @@
 
 
 async def serve_agent(port, number, tokens_per_s):
-    """Accept one entry at a time and send it tokens at a rate."""
+    """Accept one entry at a time and send it tokens at a fixed rate."""
     identity = Identity(f"agent-{number}", "domain-a", "agent", ["triage-llm"])
     listener = curio.tcp_server_socket("127.0.0.1", port)
     while True:
@@ -71,13 +71,13 @@
 
 
 async def send_until_lost(channel, attempts, tokens_per_s):
-    """Send tokens until the entry goes."""
+    """Send tokens until the entry disconnects."""
     with contextlib.suppress(ConnectionLostError):
         await send_tokens(channel, attempts, tokens_per_s)
 
 
 async def send_tokens(channel, attempts, tokens_per_s):
-    """Send one token after the other, each in a write of its own."""
+    """Send tokens one after the other, with one write for each."""
     due_s = time.monotonic()
     sent = 0
     while True:
@@ -104,7 +104,7 @@
 
 
 async def count_tokens(exchange, counts):
-    """Take the events of one exchange as a request task does."""
+    """Receive the events of one exchange as a request task does."""
     while True:
         event = await exchange.next_event()
         if isinstance(event, Part):
@@ -113,7 +113,7 @@
 
 
 async def run_entry(port, measure_s):
-    """Start all streams and print the processor time that they take."""
+    """Start all streams and print the CPU time that they need."""
     links = AgentLinks(
         Identity("entry-1", "domain-a", "entry"),
         peer_settings(**SETTINGS),
--- a/siskinthread/links/tests/test_exchange.py
+++ b/siskinthread/links/tests/test_exchange.py
@@ -23,7 +23,7 @@
 
 
 def test_many_exchanges_on_one_link_are_answered_whole():
-    """Each of many concurrent exchanges gets the whole body."""
+    """Each of many concurrent exchanges receives the whole body."""
 
     async def main():
         agent = FakeAgent(peer_settings(), BODY)
@@ -53,7 +53,7 @@
 
 
 def test_untaken_bytes_stay_within_the_window():
-    """An agent sends no more than a window to a request task that takes nothing."""
+    """An agent sends no more than a window to a request task that consumes nothing."""
 
     async def main():
         agent = FakeAgent(peer_settings(), BODY)
@@ -75,11 +75,10 @@
 
 
 def test_request_over_the_frame_limit_is_refused_and_disturbs_nobody():
-    """A request that doesn't fit a frame is refused before it reaches the link.
+    """A request that exceeds the frame limit is refused before it reaches the link.
 
-    Symptom: every stream of a link breaks at once.  Sequence: one request is larger
-    than the agent's frame limit; the agent closes the connection over it.  Cause: the
-    limit is found out by the peer only.
+    Guards against all streams of a link breaking at the same time because the agent
+    closes the connection when it receives a frame over its limit.
     """
 
     async def main():
@@ -99,18 +98,18 @@
 
 
 class RecordingLink:
-    """Stands in for a link; keeps what is sent."""
+    """Replaces a link and records the frames that are sent."""
 
     def __init__(self):
         self.frames = []
 
     async def send(self, frame):
-        """Keep a frame."""
+        """Record a frame."""
         self.frames.append(frame)
 
 
 def test_acknowledgements_come_a_quarter_of_the_window_apart():
-    """Not every part is acknowledged, but every quarter of the window."""
+    """An acknowledgement is sent for each quarter of the window, not for each part."""
 
     async def main():
         link = RecordingLink()
--- a/siskinthread/links/tests/test_failures.py
+++ b/siskinthread/links/tests/test_failures.py
@@ -25,11 +25,11 @@
 from siskinthread.wire import Acknowledge, CancelRequest, ResumeRequest, StartRequest
 
 BODY = bytes(range(256)) * 8
-NEVER_S = 3600
+UNLIMITED_S = 3600
 
 
 class CutAfter:
-    """Cuts the connection inside frame `number` of the whole run, once."""
+    """Cuts the connection once, inside frame `number` of the whole run."""
 
     def __init__(self, number):
         self.left = number
@@ -42,7 +42,7 @@
 
 
 class SilentFrom:
-    """Lets the first connection go silent for good before its frame `number`."""
+    """Makes the first connection silent from its frame `number` on."""
 
     def __init__(self, number):
         self.left = number
@@ -57,11 +57,11 @@
 
 
 def test_connection_cut_inside_a_part_is_resumed():
-    """The answer is whole although its connection broke inside a frame.
+    """The answer is complete although its connection broke inside a frame.
 
-    Symptom: an answer that stops, or has a piece twice.  Sequence: the agent sends half
-    of a part, the connection closes, the entry dials again.  Cause: without a resume
-    from the received offset the rest never comes.
+    Guards against truncated answers and duplicate bytes when the agent sends half of a
+    part, the connection closes and the entry dials again: the response has to be
+    resumed from the received offset.
     """
 
     async def main():
@@ -81,11 +81,11 @@
 
 
 def test_silent_connection_is_replaced():
-    """An answer goes on over a new connection after the old one went silent.
+    """An answer continues over a new connection after the old one went silent.
 
-    Symptom: a request hangs until its deadline while new requests are served.
-    Sequence: something between the two ends forgets the connection; neither side gets
-    an error; new connections work.  Cause: only a deadline on silence can notice.
+    Guards against a request that hangs until its deadline when a middlebox drops the
+    state of a connection: neither end gets an error, and new connections work.  Only a
+    silence limit detects this.
     """
 
     async def main():
@@ -104,11 +104,11 @@
 
 
 def test_replaced_agent_answers_unknown():
-    """A request that ran on a replaced agent ends as unknown, and is not run again.
+    """A request that ran on a replaced agent ends as unknown and does not run again.
 
-    Symptom: an alert that goes out twice.  Sequence: the agent runs a request and dies;
-    its successor listens at the same address.  Cause: sending the start frame to the
-    successor, which has never heard of the request, would run it again.
+    Guards against running a request twice: the agent runs it and crashes, and its
+    successor listens at the same address without a record of the request, so the start
+    frame must not be sent again.
     """
 
     async def main():
@@ -134,11 +134,11 @@
 
 
 def test_start_lost_on_the_way_is_asked_about_and_not_sent_again():
-    """A written start frame that never arrived ends as not run by the agent's word.
+    """A written start frame that never arrived ends as not run if the agent confirms.
 
-    Symptom: a request runs twice, or is called not run and then runs.  Sequence: the
-    start frame is written and lost with the connection.  Cause: the entry can't know
-    whether it arrived; only the agent can say, and it refuses a late one.
+    Guards against a request that runs twice, or runs after it was reported as not run:
+    the start frame is written and lost with the connection.  Only the agent knows
+    whether it arrived, and the agent refuses a late frame.
     """
 
     async def main():
@@ -160,10 +160,10 @@
 
 
 def test_start_that_was_never_written_goes_to_the_new_connection():
-    """A request of a key that waits for its home is started once the home is back."""
+    """A request with a key that waits for its home starts when the home connects."""
 
     async def main():
-        agent = FakeAgent(peer_settings(reask_limit_s=NEVER_S), BODY)
+        agent = FakeAgent(peer_settings(reask_limit_s=UNLIMITED_S), BODY)
         async with running_links(agent) as links:
             request = start_request(idempotency_key="key-1")
             exchange = await links.start(HOST, request, deadline_after())
@@ -175,11 +175,11 @@
 
 
 def test_agent_out_of_reach_ends_as_unknown_only_if_written():
-    """What was written ends as unknown after the limit; what was not, as not run.
+    """With the agent unreachable, a written request ends as unknown, others as not run.
 
-    Symptom: a caller is told "not run" of a request that runs.  Sequence: the agent
-    gets a request and its host is cut off.  Cause: a refused dial says nothing about
-    the request that was sent before.
+    Guards against reporting "not run" for a request that runs: the agent receives the
+    request and then its host is cut off.  A failed dial proves nothing about requests
+    that were sent before.
     """
 
     async def main():
@@ -225,7 +225,7 @@
 
 
 def test_passed_deadline_after_the_head_says_that_it_ran():
-    """Past its deadline a request whose head was received ends as failed, ran."""
+    """Past its deadline a request whose head was received ends as `FAILED_RAN`."""
 
     async def main():
         async def head_only(agent, channel, frame):
@@ -246,11 +246,11 @@
 def test_lost_cancellation_is_repeated_on_the_new_connection():
     """A cancellation reaches the agent although its connection was lost.
 
-    Symptom: engines spend time on answers that nobody reads.  Sequence: the caller
-    leaves while the link is down.  Cause: the frame is sent once, to nobody.
+    Guards against targets that work on answers that nobody reads, because the caller
+    left while the link was down and the cancellation was sent only once.
 
-    The agent greets no new connection until the caller has left, or the link could be
-    down and up again between two looks at it.
+    The agent delays the handshake until the request is cancelled.  Otherwise the link
+    could be lost and connected again between two checks of its status.
     """
 
     async def main():
@@ -259,12 +259,12 @@
             await wait_connected(links)
             exchange = await links.start(HOST, start_request(), deadline_after())
             assert isinstance(await exchange.next_event(), Head)
-            agent.holds_dials = True
+            agent.delays_handshakes = True
             while links.status(HOST).connected:
                 await curio.sleep(0.001)
             await exchange.cancel()
             agent.sends_heartbeats = True
-            agent.holds_dials = False
+            agent.delays_handshakes = False
             await agent.wait_until(lambda agent: agent.messages(CancelRequest))
             assert agent.connections == 2
             assert not agent.messages(ResumeRequest)
@@ -273,12 +273,12 @@
 
 
 def test_acknowledgement_is_repeated_after_a_resume():
-    """An answer beyond the window completes although acknowledgements were lost.
+    """An answer longer than the window completes although acknowledgements were lost.
 
-    Symptom: a stream stands still for good after a reconnect.  Sequence: the entry has
-    consumed and acknowledged the whole window; the connection is lost with that frame;
-    the agent waits with a full window.  Cause: the entry has nothing new to
-    acknowledge, so nothing but a repetition opens the window.
+    Guards against a stream that stalls for ever after a reconnect: the entry consumed
+    and acknowledged the whole window, the acknowledgement was lost with the connection,
+    and the agent waits with a full window.  The entry has nothing new to acknowledge,
+    so it has to repeat the acknowledgement.
     """
 
     async def main():
@@ -310,10 +310,10 @@
 
 
 def test_short_answer_is_never_shown_as_whole():
-    """An answer that misses its last part even after asking again ends as unknown.
+    """An answer whose last part is missing even after a resume ends as unknown.
 
-    Symptom: half of a draft that looks finished.  Sequence: the end says a length that
-    was not received.  Cause: taking the end frame's word without counting.
+    Guards against a truncated answer that is reported as complete: the length in the
+    end frame has to be compared with the bytes received.
     """
 
     async def main():
@@ -335,7 +335,7 @@
 
 
 def test_link_to_a_vanished_host_ends_after_its_last_exchange():
-    """A host that left the list keeps its link while an answer is under way."""
+    """A host that was removed from the list keeps its link until its answers end."""
 
     async def main():
         agent = FakeAgent(peer_settings(), BODY)
@@ -358,7 +358,7 @@
 
 
 def test_nobody_to_wait_for_is_said_at_the_deadline():
-    """Waiting for a connection ends at its deadline when no agent is there."""
+    """Waiting for a connection ends at its deadline if no agent can be connected."""
 
     async def main():
         agent = FakeAgent(peer_settings())
@@ -370,7 +370,7 @@
 
 
 def test_peer_with_another_name_gets_no_request():
-    """A host at a reused address that is not the one wanted is never sent requests."""
+    """No requests are sent to another host that listens at a reused address."""
 
     async def main():
         agent = FakeAgent(peer_settings(), BODY)
@@ -385,12 +385,11 @@
 
 
 def test_reconnects_do_not_add_up_windows():
-    """A request task that takes nothing holds one window, however often links break.
+    """At most one window is buffered for an idle request task, despite reconnects.
 
-    Symptom: an entry with slow callers grows by a window for each stream at every
-    reconnect.  Sequence: a full window waits for the request task; the connection is
-    lost; the agent takes the resume offset as consumed and sends another window.
-    Cause: resuming behind bytes that nobody has taken.
+    Guards against memory of an entry with slow callers that grows by a window per
+    stream at each reconnect: if an exchange resumes after bytes that were not consumed,
+    the agent counts them as consumed and sends another window.
     """
 
     async def main():
@@ -402,7 +401,7 @@
             if (part.offset_bytes + len(part.data)) % 1024 == 0:
                 raise CutConnectionError
 
-        limits = peer_settings(window_bytes=1024, reask_limit_s=NEVER_S)
+        limits = peer_settings(window_bytes=1024, reask_limit_s=UNLIMITED_S)
         agent = FakeAgent(limits, BODY * 4, cut_behind_window)
         agent.counts_resume_as_acknowledged = True
         async with running_links(agent) as links:
@@ -419,11 +418,10 @@
 
 
 def test_unforeseen_error_does_not_end_the_link(monkeypatch):
-    """An error in this code, met in one frame, costs a reconnect and not the link.
+    """An unexpected error in handling one frame costs a reconnect and not the link.
 
-    Symptom: a host gets no more requests until the entry restarts, and its exchanges
-    hang.  Sequence: one frame leads into an error nobody thought of.  Cause: the
-    link's task dies of it.
+    If the error ended the link's task, the exchanges of the host would hang and the
+    host would get no requests until the entry restarts.
     """
     receive_head = Exchange.receive_head
     errors = [RuntimeError("unforeseen")]
--- a/siskinthread/links/tests/test_resume_property.py
+++ b/siskinthread/links/tests/test_resume_property.py
@@ -1,4 +1,4 @@
-"""Property: whatever the network does, an answered exchange delivered its answer."""
+"""Property test: under network faults, an answered exchange delivers its answer."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -15,14 +15,14 @@
 
 ACTIONS = ["send", "repeat", "drop", "late", "cut_before", "cut_inside", "cut_after"]
 DEADLINE_S = 0.15
-# Where nothing is lost the answer must come; a busy machine may keep this process from
-# running for longer than the short deadline.
+# Without losses the answer must arrive, and on a busy machine this process may not run
+# for longer than the short deadline.
 FAULTLESS_DEADLINE_S = 5.0
 FAULTLESS_ACTIONS = {"send", "repeat"}
 
 
 class FaultyNetwork:
-    """Does one drawn action to each frame of a response; then it is faithful."""
+    """Applies one action to each frame of a response, and then sends without faults."""
 
     def __init__(self, actions):
         self.actions = list(actions)
@@ -48,7 +48,7 @@
 
 
 async def exchange_over(body, actions, window_bytes):
-    """Return what one exchange delivers over a faulty network, and the agent."""
+    """Run an exchange over a faulty network; return its `Received` and the agent."""
     network = FaultyNetwork(actions)
     limits = peer_settings(window_bytes=window_bytes, read_interval_s=0.0005)
     agent = FakeAgent(limits, body, network)
@@ -70,9 +70,9 @@
 def test_answered_means_whole(body, actions, window_bytes):
     """The bytes are a prefix of the answer, and all of it if the end is ANSWERED.
 
-    Symptom: an answer with a hole, a piece twice, or the end missing, shown as whole.
-    Sequence: frames are lost, repeated, late or out of order, and connections cut, at
-    arbitrary points.  Cause: any rule of the resume logic that is not kept.
+    Guards against answers that are reported as whole but have gaps, duplicate bytes or
+    a missing end after frames are lost, repeated, late or out of order, or connections
+    are cut, at arbitrary points.
     """
     received, agent = run(exchange_over, body, actions, window_bytes)
     assert body.startswith(received.body)
