--- a/siskinthread/admission/_shares.py
+++ b/siskinthread/admission/_shares.py
@@ -27,7 +27,7 @@
     Parameters
     ----------
     membership : siskinthread.membership.MembershipView
-        Its ``declared_entry_count`` includes hosts that vanished lately, so that a
+        Its ``entry_host_count`` includes hosts that vanished lately, so that a
         partition or a short list can't raise the sum of the parts.
     """
 
@@ -38,4 +38,4 @@
 
     def fraction(self, account_name):
         """Return one over the number of entry hosts; 1.0 while none is known."""
-        return 1.0 / max(1, self._membership.declared_entry_count())
+        return 1.0 / max(1, self._membership.entry_host_count())
--- a/siskinthread/admission/tests/test_admission.py
+++ b/siskinthread/admission/tests/test_admission.py
@@ -39,7 +39,7 @@
     def __init__(self, count):
         self.count = count
 
-    def declared_entry_count(self):
+    def entry_host_count(self):
         return self.count
 
 
--- a/siskinthread/admission/tests/test_lending.py
+++ b/siskinthread/admission/tests/test_lending.py
@@ -34,7 +34,7 @@
     def entries(self):
         return self._hosts
 
-    def declared_entry_count(self):
+    def entry_host_count(self):
         return len(self._hosts)
 
 
--- a/siskinthread/membership/_declared.py
+++ b/siskinthread/membership/_entry_host_count.py
@@ -1,10 +1,10 @@
-"""How many entry hosts there may be, for the division of limits."""
+"""Upper estimate of the number of entry hosts, used to divide limits."""
 
 from siskinthread.timing import Deadline
 
 
-class DeclaredEntries:
-    """The largest number of entry hosts seen within a time.
+class EntryHostCount:
+    """Count of the present entry hosts and of those that vanished recently.
 
     Parameters
     ----------
@@ -15,11 +15,12 @@
 
     Notes
     -----
-    Each entry host grants its part of an account's limit.  If an entry host that can't
-    see the others divided by the few it sees, the parts would add up to more than the
-    limit, noticeable only as targets overloaded by one account.  A host that vanished
-    therefore counts until its deadline has passed.  A replaced host counts twice for
-    that time, which errs on the side of a smaller sum.
+    Each entry host admits its share of an account's limit.  During a partition, an
+    entry host sees few others; if it divided the limit by that number, the shares
+    would add up to more than the limit, and the only visible sign would be targets
+    overloaded by one account.  A host that vanished therefore counts until
+    ``entry_memory_s`` has passed.  A replaced host counts twice for that time, which
+    makes the sum of the shares too small rather than too large.
     """
 
     __slots__ = ("_clock", "_present", "_settings", "_vanished")
@@ -31,7 +32,7 @@
         self._vanished = {}
 
     def note(self, hosts):
-        """Take in the names of the entry hosts that are known now."""
+        """Record the names of the entry hosts that are present now."""
         deadline = Deadline.after(self._clock, self._settings.entry_memory_s)
         self._vanished.update(dict.fromkeys(self._present.difference(hosts), deadline))
         self._present = frozenset(hosts)
@@ -39,9 +40,9 @@
             del self._vanished[host]
 
     def count(self):
-        """Return the number of entry hosts that count.
+        """Return the number of present and recently vanished entry hosts.
 
-        Those that are present count however long the list has been down.
+        Present hosts count for as long as an outage of the host list lasts.
         """
         passed = [host for host, end in self._vanished.items() if end.passed()]
         for host in passed:
--- a/siskinthread/membership/_following.py
+++ b/siskinthread/membership/_following.py
@@ -1,4 +1,4 @@
-"""The task that follows the host list."""
+"""The task that polls the host list."""
 
 import curio
 
@@ -9,20 +9,20 @@
 
 
 async def follow_host_list(client, view, settings, clock, metrics):
-    """Read the host list again and again into a view; runs until cancelled.
+    """Poll the host list into a view until cancelled.
 
     Parameters
     ----------
     client : siskinthread.shared_services.HostListClient
-        Client of the list.
+        Client of the host list.
     view : MembershipView
-        The view to keep.
+        The view to update.
     settings : siskinthread.shared_services.PlatformSettings
-        ``host_list_interval_s``.
+        ``host_list_interval_s``, the pause between two polls.
     clock : siskinthread.timing.Clock
-        Clock of the age that the metric shows.
+        Clock for the reported age of the list.
     metrics : siskinthread.observability.Metrics
-        Registry.
+        Registry for the count of answers and the age of the list.
     """
     answers = metrics.counter(
         "membership_answers", "Answers of the host list by judgement.", ["judgement"]
@@ -33,7 +33,7 @@
     fresh_at_s = clock.monotonic_s()
     available = True
     while True:
-        judgement = await _read_once(client, view)
+        judgement = await _poll_once(client, view)
         if judgement == "plausible":
             fresh_at_s = clock.monotonic_s()
         if available != (judgement != "unavailable"):
@@ -44,7 +44,7 @@
         await curio.sleep(settings.host_list_interval_s)
 
 
-async def _read_once(client, view):
+async def _poll_once(client, view):
     try:
         entries = await client.fetch()
     except PlatformUnavailableError:
--- a/siskinthread/membership/_shrinking.py
+++ b/siskinthread/membership/_shrinking.py
@@ -1,26 +1,26 @@
-"""Judgement of a host list that became shorter."""
+"""Plausibility check for a host list that became shorter."""
 
 import collections
 
 from siskinthread.timing import Deadline
 
 
-class ShrinkJudge:
-    """Tells a list that lost hosts from one that was cut short.
+class ShrinkCheck:
+    """Distinguish a host list that lost hosts from a truncated one.
 
     Parameters
     ----------
     settings : MembershipSettings
-        Limit and window.
+        ``shrink_limit_fraction`` and ``shrink_window_s``.
     clock : siskinthread.timing.Clock
-        Clock of the window.
+        Clock for the window.
 
     Notes
     -----
-    Hosts that were leaving may vanish in any number.  Of the others, one always may,
-    and up to ``shrink_limit_fraction`` of them within ``shrink_window_s``.  Removals
-    are added up over the window, because a list that decays by a few hosts with each
-    answer would otherwise be believed to the last host.
+    Any number of hosts that were listed as leaving may vanish.  Of the others, a single
+    host may always vanish, and up to ``shrink_limit_fraction`` of them within
+    ``shrink_window_s``.  Removals are summed over the window, because otherwise a list
+    that loses a few hosts with each answer would be accepted until it was empty.
     """
 
     __slots__ = ("_clock", "_removals", "_settings")
@@ -30,13 +30,13 @@
         self._clock = clock
         self._removals = collections.deque()
 
-    def plausible(self, known, listed):
-        """Return whether an answer's missing hosts can be true.
+    def is_plausible(self, known, listed):
+        """Return whether few enough hosts are missing from an answer.
 
         Parameters
         ----------
         known, listed : dict of str to HostEntry
-            Hosts before the answer and in the answer.
+            Hosts known before the answer, and hosts in the answer.
         """
         staying = [host for host, entry in known.items() if not entry.leaving]
         missing_count = sum(1 for host in staying if host not in listed)
@@ -46,7 +46,7 @@
         return missing_count == 0 or missing_count + recent_count <= limit_count
 
     def note_removals(self, count):
-        """Remember that hosts were removed just now."""
+        """Record the number of hosts that were removed now."""
         if count:
             window = Deadline.after(self._clock, self._settings.shrink_window_s)
             self._removals.append((window, count))
--- a/siskinthread/membership/_view.py
+++ b/siskinthread/membership/_view.py
@@ -1,7 +1,7 @@
-"""The hosts that this process believes in."""
+"""The hosts of the fleet as this process sees them."""
 
-from siskinthread.membership._declared import DeclaredEntries
-from siskinthread.membership._shrinking import ShrinkJudge
+from siskinthread.membership._entry_host_count import EntryHostCount
+from siskinthread.membership._shrinking import ShrinkCheck
 from siskinthread.observability import part_logger
 from siskinthread.timing import Deadline
 
@@ -16,35 +16,36 @@
 
 
 class MembershipView:
-    """The hosts of the host list, kept through the list's faults.
+    """The hosts of the host list, robust against faults of the list.
 
     Parameters
     ----------
     settings : MembershipSettings
-        How far the list is believed.
+        Limits on removals.
     clock : siskinthread.timing.Clock
-        Clock of the deadlines.
+        Clock for the deadlines.
     is_connected : callable or None
-        Tells for the name of a host whether its link is alive.  It can be set later,
-        as the attribute `is_connected`.
+        Takes the name of a host and returns whether its link is alive.  It can be set
+        later, as the attribute `is_connected`.
 
     Notes
     -----
     Absence from the list is weak evidence: the list lags, has outages, and an answer
-    may be cut short.  An empty answer is never believed, since the asking host itself
-    is on a true list.  An answer without too many of the hosts at once (see
-    `ShrinkJudge`) drops nobody until ``shrunken_hold_s`` has passed, and then only
-    hosts whose links are dead too.  Without this, one bad answer would close the links
-    to healthy targets; one would notice refusals ``no_target`` while every agent runs.
+    may be truncated.  An empty answer is always rejected, since a correct list contains
+    at least the requesting host.  An answer that lacks too many hosts (see
+    `ShrinkCheck`) removes no host until ``shrunken_hold_s`` has passed, and then only
+    hosts whose links are dead too.  Without this rule, a single bad answer would close
+    the links to healthy targets, and requests would be refused with ``no_target``
+    while every agent runs.
     """
 
     __slots__ = (
         "_agents",
         "_clock",
-        "_declared",
+        "_entry_host_count",
         "_entries",
         "_held",
-        "_judge",
+        "_shrink_check",
         "_known",
         "_listeners",
         "_settings",
@@ -57,13 +58,14 @@
         self._clock = clock
         self._known = {}
         self._held = {}
-        # The client returns the same object while the list is unchanged.
+        # The client returns the same object while the list is unchanged, so that an
+        # unchanged answer needs no processing.
         self._settled_answer = None
         self._agents = {}
         self._entries = {}
         self._listeners = []
-        self._judge = ShrinkJudge(settings, clock)
-        self._declared = DeclaredEntries(settings, clock)
+        self._shrink_check = ShrinkCheck(settings, clock)
+        self._entry_host_count = EntryHostCount(settings, clock)
         self.is_connected = is_connected or _never_connected
 
     def agents(self):
@@ -74,24 +76,27 @@
         """Return the dict of host name to `HostEntry` of the entry hosts."""
         return self._entries
 
-    def declared_entry_count(self):
-        """Return the largest number of entry hosts within ``entry_memory_s``."""
-        return self._declared.count()
+    def entry_host_count(self):
+        """Return the number of present and recently vanished entry hosts.
+
+        A vanished entry host counts for ``entry_memory_s``.
+        """
+        return self._entry_host_count.count()
 
     def is_leaving(self, host):
-        """Return whether a host shall get no new work.
+        """Return whether a host must not get new work.
 
-        True also for a host that a plausible list dropped; a host never heard of is
-        not leaving.
+        True also for a host that is kept although it is missing from a plausible list.
+        False for an unknown host.
         """
         held = self._held.get(host)
-        if held is not None and held.plausible:
+        if held is not None and held.is_plausible:
             return True
         entry = self._known.get(host)
         return entry is not None and entry.leaving
 
     def failure_domain(self, host):
-        """Return the failure domain of a host, None if it is unknown."""
+        """Return the failure domain of a host, or None if the host is unknown."""
         entry = self._known.get(host)
         return None if entry is None else entry.failure_domain
 
@@ -100,12 +105,12 @@
         self._listeners.append(callback)
 
     def replace(self, entries):
-        """Take in an answer of the host list.
+        """Apply an answer of the host list.
 
         Parameters
         ----------
         entries : list of siskinthread.shared_services.HostEntry
-            The whole answer.
+            All hosts of the answer.
 
         Returns
         -------
@@ -117,79 +122,92 @@
         if entries is self._settled_answer:
             return True
         listed = {entry.host: entry for entry in entries}
-        plausible = self._judge.plausible(self._known, listed)
+        is_plausible = self._shrink_check.is_plausible(self._known, listed)
         before = self._known
         held_before = self._held
-        self._held = self._hold_missing(listed, plausible)
+        self._held = self._hold_missing(listed, is_plausible)
         self._known = listed | {host: before[host] for host in self._held}
-        self._judge.note_removals(len(before.keys() - self._known.keys()))
+        self._shrink_check.note_removals(len(before.keys() - self._known.keys()))
         self._split_by_role()
         if _differ(before, self._known) or _held_differ(held_before, self._held):
-            self._tell_listeners()
-        self._settled_answer = entries if plausible and not self._held else None
-        return plausible
+            self._notify_listeners()
+        self._settled_answer = entries if is_plausible and not self._held else None
+        return is_plausible
 
-    def _hold_missing(self, listed, plausible):
+    def _hold_missing(self, listed, is_plausible):
         held = {}
         for host, entry in self._known.items():
             if host in listed:
                 continue
-            hold = self._held.get(host) or self._new_hold(entry, plausible)
-            if self._keeps(host, hold):
+            hold = self._held.get(host) or self._new_hold(entry, is_plausible)
+            if self._should_keep(host, hold):
                 held[host] = hold
         return held
 
-    def _new_hold(self, entry, plausible):
+    def _new_hold(self, entry, is_plausible):
         settings = self._settings
-        wait_s = settings.removal_grace_s if plausible else settings.shrunken_hold_s
-        if not plausible:
-            _logger.warning("Implausible list lacks %s; it is kept.", entry.host)
-        return _Hold(Deadline.after(self._clock, wait_s), plausible)
-
-    def _keeps(self, host, hold):
+        wait_s = settings.removal_grace_s if is_plausible else settings.shrunken_hold_s
+        if not is_plausible:
+            _logger.warning(
+                "Host %s is missing from an implausible host list; keeping it.",
+                entry.host,
+            )
+        return _Hold(Deadline.after(self._clock, wait_s), is_plausible)
+
+    def _should_keep(self, host, hold):
         connected = self.is_connected(host)
-        if hold.plausible:
+        if hold.is_plausible:
             return connected and not hold.deadline.passed()
         return connected or not hold.deadline.passed()
 
     def _split_by_role(self):
         self._agents = self._with_role(AGENT_ROLE)
         self._entries = self._with_role(ENTRY_ROLE)
-        self._declared.note(self._entries)
+        self._entry_host_count.note(self._entries)
 
     def _with_role(self, role):
         return {
             host: entry for host, entry in self._known.items() if entry.role == role
         }
 
-    def _tell_listeners(self):
+    def _notify_listeners(self):
         for callback in self._listeners:
             callback(self)
 
 
 class _Hold:
-    """A host that is kept although the list lacks it."""
+    """A host that is kept although it is missing from the list.
+
+    Parameters
+    ----------
+    deadline : Deadline
+        When the grace period of the host ends.
+    is_plausible : bool
+        Whether the first list that lacked the host was plausible.
+    """
 
-    __slots__ = ("deadline", "plausible")
+    __slots__ = ("deadline", "is_plausible")
 
-    def __init__(self, deadline, plausible):
+    def __init__(self, deadline, is_plausible):
         self.deadline = deadline
-        self.plausible = plausible
+        self.is_plausible = is_plausible
 
 
 def _differ(before, after):
     if before.keys() != after.keys():
         return True
-    return any(_fields(before[host]) != _fields(after[host]) for host in after)
+    return any(
+        _field_values(before[host]) != _field_values(after[host]) for host in after
+    )
 
 
-def _fields(entry):
+def _field_values(entry):
     return entry.role, entry.address, entry.port, entry.failure_domain, entry.leaving
 
 
 def _held_differ(before, after):
-    return _plausibly_held(before) != _plausibly_held(after)
+    return _hosts_held_plausibly(before) != _hosts_held_plausibly(after)
 
 
-def _plausibly_held(held):
-    return {host for host, hold in held.items() if hold.plausible}
+def _hosts_held_plausibly(held):
+    return {host for host, hold in held.items() if hold.is_plausible}
--- a/siskinthread/membership/tests/test_membership.py
+++ b/siskinthread/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership view under faults of the host list."""
+"""Tests of the membership view under faults of the host list."""
 
 import curio
 import pytest
@@ -17,8 +17,8 @@
 DOMAINS = ("trondheim-a", "trondheim-b", "steinkjer")
 
 
-def lines(agent_count=12, entry_count=6, leaving=()):
-    """Return a whole host list."""
+def host_entries(agent_count=12, entry_count=6, leaving=()):
+    """Return a complete host list."""
     agents = [
         HostEntry(f"agent-{i}", "agent", "127.0.0.1", 1, DOMAINS[i % 3], False)
         for i in range(agent_count)
@@ -27,19 +27,19 @@
         HostEntry(f"entry-{i}", "entry", "127.0.0.1", 1, DOMAINS[i % 3], False)
         for i in range(entry_count)
     ]
-    for line in agents:
-        line.leaving = line.host in leaving
+    for entry in agents:
+        entry.leaving = entry.host in leaving
     return agents + entries
 
 
 def without(hosts, listed):
-    """Return a host list that lacks some hosts."""
-    return [line for line in listed if line.host not in hosts]
+    """Return a host list without the given hosts."""
+    return [entry for entry in listed if entry.host not in hosts]
 
 
 @pytest.fixture
 def clock():
-    """Return a clock that the test moves."""
+    """Return a clock that the test advances."""
     return ManualClock()
 
 
@@ -53,15 +53,14 @@
 def view(clock, connected):
     """Return a view of 12 agents and 6 entry hosts."""
     view = MembershipView(MembershipSettings(), clock, lambda host: host in connected)
-    assert view.replace(lines())
+    assert view.replace(host_entries())
     return view
 
 
 def test_empty_list_removes_nobody(view):
-    """Symptom: all links close and every request is refused ``no_target``.
+    """Guards against refusing every request with ``no_target``.
 
-    Events: the host list answers, but with an empty list, for a long time.  Cause: the
-    answer was believed.
+    If an empty answer of the host list were applied, all links would be closed.
     """
     assert not view.replace([])
     assert len(view.agents()) == 12
@@ -69,55 +68,56 @@
 
 
 def test_empty_list_removes_no_lone_host(clock):
-    """The last hosts of a small list stay too, though each alone may vanish."""
+    """An empty list removes no host, even where a single host may always vanish."""
     view = MembershipView(MembershipSettings(), clock)
-    view.replace(lines(agent_count=1, entry_count=0))
+    view.replace(host_entries(agent_count=1, entry_count=0))
     assert not view.replace([])
     assert set(view.agents()) == {"agent-0"}
 
 
 def test_cut_short_list_removes_nobody(view, clock, connected):
-    """Symptom: most links close at once although the agents run.
+    """Guards against closing the links to running agents.
 
-    Events: the list comes cut short again and again.  Cause: absence from the list was
-    taken for a removal.  Hosts with a live link stay for as long as that lasts, hosts
-    without one until the hold has passed.
+    The host list is truncated for many answers in a row.  Hosts with a live link must
+    stay all that time, hosts without a link until ``shrunken_hold_s`` has passed.
     """
     connected.update(f"agent-{i}" for i in range(11))
     for _ in range(200):
-        assert not view.replace(lines(agent_count=3))
+        assert not view.replace(host_entries(agent_count=3))
         clock.advance(1.0)
     assert set(view.agents()) == {f"agent-{i}" for i in range(11)}
     assert not any(view.is_leaving(host) for host in view.agents())
 
 
 def test_list_that_decays_step_by_step_is_not_believed(view, clock):
-    """Symptom: the same as with a cut list, but over half a minute.
+    """Guards against removing running agents step by step.
 
-    Events: each answer lacks one host more.  Cause: each step alone is plausible.
+    Each answer lacks one more host, which is plausible for each step alone.
     """
     for count in range(11, 0, -1):
-        view.replace(lines(agent_count=count))
+        view.replace(host_entries(agent_count=count))
         clock.advance(2.0)
     assert len(view.agents()) >= 8
 
 
 def test_list_without_a_whole_failure_domain_keeps_its_hosts(view, connected):
-    """A cut between the list and a failure domain does not remove that domain."""
-    lost = {line.host for line in lines() if line.failure_domain == "steinkjer"}
+    """A partition between the list and a failure domain removes no host of it."""
+    lost = {
+        entry.host for entry in host_entries() if entry.failure_domain == "steinkjer"
+    }
     connected.update(lost)
-    view.replace(without(lost, lines()))
+    view.replace(without(lost, host_entries()))
     assert lost <= set(view.agents()) | set(view.entries())
 
 
 def test_stale_list_does_not_cut_off_what_runs(view, clock, connected):
-    """Symptom: requests in flight end broken when the list drops their host.
+    """Guards against breaking requests in flight on a host that is being removed.
 
-    Events: a host goes; the list drops it while its streams still run.  Cause: its
-    link was closed at once.  It gets no new work, but keeps its link for the grace.
+    The list drops a host whose streams still run.  The host must get no new work, but
+    keep its link for the grace period.
     """
     connected.add("agent-3")
-    listed = without({"agent-3"}, lines())
+    listed = without({"agent-3"}, host_entries())
     assert view.replace(listed)
     assert "agent-3" in view.agents()
     assert view.is_leaving("agent-3")
@@ -127,93 +127,93 @@
 
 
 def test_dead_host_that_the_list_drops_is_removed(view):
-    """Without a live link, a plausible removal is followed at once."""
-    view.replace(without({"agent-3"}, lines()))
+    """A host without a live link is removed at once by a plausible list."""
+    view.replace(without({"agent-3"}, host_entries()))
     assert "agent-3" not in view.agents()
 
 
 def test_announced_leaving_in_any_number_is_believed(view):
     """Hosts that were listed as leaving may vanish together."""
     leaving = {f"agent-{i}" for i in range(8)}
-    view.replace(lines(leaving=leaving))
+    view.replace(host_entries(leaving=leaving))
     assert all(view.is_leaving(host) for host in leaving)
-    assert view.replace(without(leaving, lines()))
+    assert view.replace(without(leaving, host_entries()))
     assert set(view.agents()) == {f"agent-{i}" for i in range(8, 12)}
 
 
 def test_host_that_comes_back_is_whole_again(view, connected):
-    """A host that the list dropped and shows again gets new work."""
+    """A host that was missing from the list and is listed again gets new work."""
     connected.add("agent-3")
-    view.replace(without({"agent-3"}, lines()))
-    view.replace(lines())
+    view.replace(without({"agent-3"}, host_entries()))
+    view.replace(host_entries())
     assert not view.is_leaving("agent-3")
 
 
 def test_entries_that_vanished_count_for_limits(view, clock):
-    """Symptom: one account gets more than its limit during a partition.
+    """Guards against exceeding an account's limit during a partition.
 
-    Events: an entry host can't see the others any more, as can't they.  Cause: each
-    divided the limit by the few that it saw.
+    The entry hosts can't see each other; each would divide the limit by the number of
+    entry hosts that it sees.
     """
     gone = {f"entry-{i}" for i in range(1, 6)}
-    view.replace(without(gone, lines()))
+    view.replace(without(gone, host_entries()))
     clock.advance(500.0)
-    view.replace(without(gone, lines()))
-    assert view.declared_entry_count() == 6
+    view.replace(without(gone, host_entries()))
+    assert view.entry_host_count() == 6
 
 
 def test_entries_count_through_an_outage_of_any_length(view, clock):
-    """Symptom: each entry host grants every account its whole limit.
+    """Guards against admitting every account's whole limit on each entry host.
 
-    Events: the host list is down for longer than vanished hosts are remembered.  Cause:
-    hosts counted from when they were last read, and none was left.
+    The host list is down for longer than ``entry_memory_s``; present hosts would expire
+    if their time ran from the last answer.
     """
     clock.advance(10_000.0)
-    assert view.declared_entry_count() == 6
+    assert view.entry_host_count() == 6
 
 
 def test_unchanged_answer_still_ends_a_grace(view, clock, connected):
-    """The same answer again removes a held host once its grace has passed."""
+    """An unchanged answer removes a kept host once its grace period has passed."""
     connected.add("agent-3")
-    answer = without({"agent-3"}, lines())
+    answer = without({"agent-3"}, host_entries())
     view.replace(answer)
     clock.advance(31.0)
     view.replace(answer)
     assert "agent-3" not in view.agents()
 
 
-def test_declared_count_follows_in_the_end(view, clock):
-    """After the memory has passed, hosts that are gone no longer count."""
+def test_entry_host_count_follows_in_the_end(view, clock):
+    """Vanished entry hosts no longer count after ``entry_memory_s``."""
     gone = {"entry-5"}
-    view.replace(without(gone, lines()))
+    view.replace(without(gone, host_entries()))
     for _ in range(7):
         clock.advance(100.0)
-        view.replace(without(gone, lines()))
-    assert view.declared_entry_count() == 5
+        view.replace(without(gone, host_entries()))
+    assert view.entry_host_count() == 5
 
 
 def test_listeners_hear_of_changes_only(view):
-    """A listener is called once for a change and not for an equal list."""
-    heard = []
-    view.listen(heard.append)
-    view.replace(lines())
-    assert heard == []
-    view.replace(lines(leaving={"agent-1"}))
-    assert heard == [view]
+    """A listener is called once for a change and not for an equal answer."""
+    notified = []
+    view.listen(notified.append)
+    view.replace(host_entries())
+    assert notified == []
+    view.replace(host_entries(leaving={"agent-1"}))
+    assert notified == [view]
 
 
 class ScriptEndError(Exception):
-    """The scripted answers are used up."""
+    """No scripted answer is left."""
 
 
 class ScriptedClient:
-    """A host list client with given answers; None is an outage."""
+    """A host list client that returns given answers; None simulates an outage."""
 
     def __init__(self, answers):
         self._answers = iter(answers)
 
     async def fetch(self):
-        """Return or raise the next answer."""
+        """Return the next answer, or raise if it is an outage or none is left."""
         for answer in self._answers:
             if answer is None:
                 raise PlatformUnavailableError("no answer")
@@ -222,10 +222,10 @@
 
 
 def test_outage_keeps_the_last_list(clock):
-    """Symptom: membership stands still, or hosts are lost, after an outage of the list.
+    """Guards against a frozen membership or lost hosts after an outage of the list.
 
-    Events: the list is down, answers, is down, answers nothing, and answers again.
-    Cause: the follower ended with the first outage, or took it for an empty list.
+    The list is unavailable, answers, is unavailable, is empty, is unavailable and
+    answers again.  The task must not end with an outage nor treat it as an empty list.
     """
     settings = PlatformSettings(
         log=Address("127.0.0.1", 1),
@@ -235,7 +235,9 @@
     view = MembershipView(MembershipSettings(), clock)
     sizes = []
     view.listen(lambda view: sizes.append(len(view.agents())))
-    client = ScriptedClient([None, lines(), None, [], None, lines(agent_count=13)])
+    client = ScriptedClient(
+        [None, host_entries(), None, [], None, host_entries(agent_count=13)]
+    )
     with pytest.raises(ScriptEndError):
         curio.run(follow_host_list, client, view, settings, clock, Metrics())
     assert sizes == [12, 13]
