--- a/siskinthread/ownership/__init__.py
+++ b/siskinthread/ownership/__init__.py
@@ -1,11 +1,12 @@
-"""Which agent controls each model group, by fenced claims on the platform's log.
+"""Ownership of model groups by agents, through fenced claims on the platform's log.
 
 Interface: ``OwnershipView()`` with ``owner(group)`` (`Owner`: host, incarnation,
-fencing; or None), ``fencing(group)``, ``followed()`` and ``listen(callback)``;
+fencing; or None), ``fencing(group)``, ``is_following()`` and ``listen(callback)``;
 ``Claimer(client, view, platform, configuration, settings, host, incarnation, groups,
 liveness, clock, metrics)`` with ``async run()`` and ``async confirm(group)``, which a
-controller awaits before it acts.  ``Liveness(membership, heartbeats)`` says who is
-suspected; the agents call ``Heartbeats.heard(host)`` for each sign of life of an owner.
+controller awaits before it acts.  ``Liveness(membership, heartbeats)`` returns whether
+a host is suspected; the agents call ``Heartbeats.note_heartbeat(host)`` for each
+heartbeat of an owner.
 """
 
 from siskinthread.ownership._claimer import Claimer
--- a/siskinthread/ownership/_claimer.py
+++ b/siskinthread/ownership/_claimer.py
@@ -1,4 +1,4 @@
-"""The task that claims groups whose owner is suspected, and keeps the claims."""
+"""The task that claims groups whose owner is suspected and preserves the claims."""
 
 import random as random_module
 
@@ -17,39 +17,40 @@
     encode_snapshot,
     read_record,
 )
-from siskinthread.ownership._turns import Turns
+from siskinthread.ownership._turns import ClaimSchedule
 from siskinthread.timing import Deadline
 
-_LOG = part_logger("ownership")
+_logger = part_logger("ownership")
 
 
 class Claimer:
-    """Claims groups for one process.
+    """Claim model groups for this process.
 
     Parameters
     ----------
     client : siskinthread.shared_services.LogClient
         Client of the log.
     view : OwnershipView
-        Kept up to date.
+        Updated with the owners in force after each read.
     platform : siskinthread.shared_services.PlatformSettings
-        Name of the ownership stream.
+        ``ownership_stream``, the name of the stream.
     configuration : siskinthread.configuration.ConfigurationSettings
-        Retention of the log and the shares of it at which claims are copied.
+        Retention of the log and the fractions of it after which a snapshot of the
+        claims is written.
     settings : OwnershipSettings
-        Waits.
+        Intervals and delays.
     host, incarnation : str
-        This process.
+        Identity of this process.
     groups : callable
         Returns a dict of group to the hosts of its agents.
     liveness : object
-        ``suspected(host)``, such as `Liveness`.
+        Has ``is_suspected(host)``, such as `Liveness`.
     clock : Clock
-        The process's clock.
+        Clock for the deadlines.
     metrics : siskinthread.observability.Metrics
-        Where claims and troubles are counted.
+        Registry for the count of claims and errors.
     random : random.Random or None
-        Source of the jitter.
+        Source of jitter.
     """
 
     __slots__ = (
@@ -66,10 +67,10 @@
         "_random",
         "_reader",
         "_reset_deadline",
-        "_schedule",
+        "_snapshot_schedule",
         "_settings",
         "_stream",
-        "_turns",
+        "_claim_schedule",
         "_view",
     )
 
@@ -100,8 +101,8 @@
         self._clock = clock
         self._random = random
         self._reader = ClaimReader(client, self._stream)
-        self._schedule = SnapshotSchedule(configuration, clock, random)
-        self._turns = Turns(settings, host, clock, random)
+        self._snapshot_schedule = SnapshotSchedule(configuration, clock, random)
+        self._claim_schedule = ClaimSchedule(settings, host, clock, random)
         self._base_offset = -1
         self._next_read = Deadline.after(clock, 0.0)
         self._reset_deadline = None
@@ -116,59 +117,69 @@
             await curio.sleep(await self.step())
 
     async def confirm(self, group):
-        """Read the claims anew before acting for a group.
+        """Read the latest claims before acting for a group.
 
         Returns
         -------
         int or None
             The fencing number to act with; None if this process is not the owner or
-            the stream holds another history than it did.
+            the history of the stream has changed.
 
         Notes
         -----
-        With the log down the owner goes on: nobody can have superseded it meanwhile,
-        but for claims just before.  Neither this nor any check that comes before an
-        order can be relied on, as the process may pause behind it; the gates refuse
-        the order then.
+        While the log is unavailable, the owner continues: no process can supersede it
+        then, except by a claim appended just before the outage.  Safety does not rest
+        on this check, since the process may pause between the check and its order; in
+        that case the gates of the ranks refuse the order.
         """
         try:
             async with self._lock:
                 await self._read()
         except PlatformUnavailableError:
             self._counts.labels(event="unavailable").inc()
-        return self._own_fencing(group) if self._view.followed() else None
+        return self._own_fencing(group) if self._view.is_following() else None
 
     async def step(self):
-        """Read and claim what is due; return the pause, seconds."""
+        """Read the stream and append claims if due.
+
+        Returns
+        -------
+        float
+            Time until the next step, seconds.
+        """
         try:
             async with self._lock:
                 await self._step()
         except PlatformUnavailableError as error:
-            # Nobody can claim now, and the owner goes on.
+            # No process can claim without the log, so the owner continues.
             self._counts.labels(event="unavailable").inc()
-            _LOG.warning("The claims can't be read or written: %s.", error)
-            self._plan_read()
-        return self._turns.left_s(self._next_read.left_s()) or self._least_pause_s()
+            _logger.warning("The claims can't be read or written: %s.", error)
+            self._schedule_read()
+        return (
+            self._claim_schedule.left_s(self._next_read.left_s()) or self._min_pause_s()
+        )
 
     async def _step(self):
-        self._find_turns()
-        if not (self._turns.due() or self._next_read.passed() or self._reset_due()):
+        self._schedule_claims()
+        if not (
+            self._claim_schedule.due() or self._next_read.passed() or self._reset_due()
+        ):
             return
         await self._read()
-        self._plan_read()
+        self._schedule_read()
         if self._view.condition is Condition.GAP:
             await self._reset_if_due()
-        if not self._view.followed():
+        if not self._view.is_following():
             return
         self._reset_deadline = None
-        # What was read may have ended the need, or begun another one.
-        self._find_turns()
-        for group in self._turns.due():
+        # The records read may have settled some groups and made others need an owner.
+        self._schedule_claims()
+        for group in self._claim_schedule.due():
             await self._claim(group)
-        await self._copy_if_due()
+        await self._write_snapshot_if_due()
 
-    def _find_turns(self):
-        if not self._view.followed():
+    def _schedule_claims(self):
+        if not self._view.is_following():
             return
         groups = self._groups()
         for group, hosts in groups.items():
@@ -177,33 +188,34 @@
                 others = [
                     host
                     for host in hosts
-                    if host != self._host and not self._liveness.suspected(host)
+                    if host != self._host and not self._liveness.is_suspected(host)
                 ]
-                self._turns.wait_for(group, others, fencing)
+                self._claim_schedule.schedule(group, others, fencing)
             else:
-                self._turns.drop(group)
-        self._turns.keep(groups)
+                self._claim_schedule.cancel(group)
+        self._claim_schedule.retain(groups)
 
     def _needs_owner(self, group):
         owner = self._view.owner(group)
         if owner is None:
             return True
         if owner.host == self._host:
-            # An earlier incarnation on this host is gone for good.
+            # An earlier incarnation on this host never comes back.
             return owner.incarnation != self._incarnation
-        return self._liveness.suspected(owner.host)
+        return self._liveness.is_suspected(owner.host)
 
     async def _claim(self, group):
         supersedes = self._reader.fold.fencing(group)
         claim = Claim(group, self._host, self._incarnation, supersedes)
-        # The answer may be lost, and the claim may land late.  Each further try comes
-        # after reading, and is the same claim: at most one copy is ever granted.
-        self._turns.put_off(group)
+        # The answer may be lost, and the append may take effect late.  Each further
+        # attempt follows a read and repeats the same claim, so at most one copy of it
+        # is ever granted.
+        self._claim_schedule.postpone(group)
         self._counts.labels(event="claimed").inc()
         await self._client.append(self._stream, encode_claim(claim))
         await self._read()
         if self._own_fencing(group) is not None:
-            self._turns.drop(group)
+            self._claim_schedule.cancel(group)
 
     def _own_fencing(self, group):
         owner = self._view.owner(group)
@@ -215,36 +227,38 @@
     async def _read(self):
         reading = await self._reader.catch_up()
         if reading.condition is not Condition.GOOD:
-            self._note_trouble(reading)
+            self._record_fault(reading)
             return
         self._view.condition = reading.condition
         if reading.diverged:
             self._counts.labels(event="diverged").inc()
-            _LOG.error("A copy of the claims differs from what was read here.")
+            _logger.error(
+                "A snapshot of the claims differs from the owners known here."
+            )
         for verdict in reading.verdicts:
-            self._note(verdict)
+            self._record_verdict(verdict)
         records = [verdict.record for verdict in reading.verdicts]
-        self._schedule.note(records, self._base_offset)
+        self._snapshot_schedule.note(records, self._base_offset)
         self._view.replace(self._reader.fold.owners)
 
-    def _note(self, verdict):
+    def _record_verdict(self, verdict):
         self._counts.labels(event=str(verdict.status)).inc()
         if verdict.status is ClaimStatus.SNAPSHOT:
             applied_offset = read_record(verdict.record.body).applied_offset
             self._base_offset = max(self._base_offset, applied_offset)
 
-    def _note_trouble(self, reading):
+    def _record_fault(self, reading):
         if self._view.condition is not reading.condition:
-            _LOG.error("The claims can't be followed: %s.", reading.detail)
+            _logger.error("The claims can't be followed: %s.", reading.detail)
         self._view.condition = reading.condition
         self._counts.labels(event=str(reading.condition)).inc()
 
-    async def _copy_if_due(self):
-        """Append all claims in force again before their records expire."""
-        if not self._schedule.due() or not self._owns_any():
+    async def _write_snapshot_if_due(self):
+        """Append a snapshot of the owners before the records of their claims expire."""
+        if not self._snapshot_schedule.due() or not self._owns_any():
             return
         body = encode_snapshot(self._reader.fold.snapshot())
-        self._schedule.put_off()
+        self._snapshot_schedule.put_off()
         await self._client.append(self._stream, body)
         self._counts.labels(event="copied").inc()
 
@@ -252,7 +266,10 @@
         return self._reset_deadline is not None and self._reset_deadline.passed()
 
     async def _reset_if_due(self):
-        """Give up claims that expired unread; without it nobody could claim again."""
+        """Append a reset if claims in force expired unread.
+
+        Without a reset no process could claim a group again.
+        """
         if self._reset_deadline is None:
             wait_s = self._random.random() * self._settings.reset_wait_s
             self._reset_deadline = Deadline.after(self._clock, wait_s)
@@ -265,7 +282,7 @@
     def _owns_any(self):
         return any(self._own_fencing(group) is not None for group in self._groups())
 
-    def _plan_read(self):
+    def _schedule_read(self):
         settings = self._settings
         interval_s = settings.read_interval_s
         if self._owns_any():
@@ -273,5 +290,5 @@
         wait_s = interval_s * (1.0 + self._random.random()) / 2
         self._next_read = Deadline.after(self._clock, wait_s)
 
-    def _least_pause_s(self):
+    def _min_pause_s(self):
         return self._settings.claim_step_s * self._random.random() / 2
--- a/siskinthread/ownership/_fold.py
+++ b/siskinthread/ownership/_fold.py
@@ -1,4 +1,4 @@
-"""The fold: from claims in the order of the log to the owner of each group."""
+"""The fold that computes the owner of each group from the claims in log order."""
 
 import enum
 import functools
@@ -15,10 +15,10 @@
 
 
 class ClaimStatus(enum.StrEnum):
-    """What became of a record; the same on every node."""
+    """Outcome of a record, identical on every node."""
 
     GRANTED = "granted"
-    # Made for another claim than the one in force; also every repeated or late copy.
+    # Supersedes a claim that is not in force; also every repeated or late copy.
     STALE = "stale"
     INVALID = "invalid"
     SNAPSHOT = "snapshot"
@@ -26,18 +26,18 @@
 
 
 class ClaimVerdict:
-    """What the fold decided about one record.
+    """Result of folding one record.
 
     Parameters
     ----------
     status : ClaimStatus
-        The decision.
+        Outcome of the record.
     record : siskinthread.shared_services.LogRecord
         The record.
     claim : Claim or None
-        What it holds, if it is a claim.
+        The claim of the record, if it holds one.
     before : Owner or None
-        Owner of the group before it.
+        Owner of the group before the record.
     """
 
     __slots__ = ("before", "claim", "record", "status")
@@ -55,7 +55,7 @@
     Attributes
     ----------
     applied_offset : int
-        Last record that was folded; -1 before any.
+        Offset of the last folded record; -1 before the first.
     owners : dict of str to Owner
         Owners by group.
     """
@@ -67,32 +67,36 @@
         self.owners = dict(owners or {})
 
     def apply(self, record):
-        """Fold the next record; return its `ClaimVerdict`.
+        """Fold the next record.
+
+        Returns
+        -------
+        ClaimVerdict
 
         Raises
         ------
         InvariantError
-            If another record than the next one is given.
+            If the record does not directly follow the last folded one.
         """
         if record.offset != self.applied_offset + 1:
             raise InvariantError(
                 f"claim {record.offset} was folded after {self.applied_offset}"
             )
-        verdict = _judge(read_record(record.body), record, self)
+        verdict = _apply_content(read_record(record.body), record, self)
         self.applied_offset = record.offset
         return verdict
 
     def fencing(self, group):
-        """Return the fencing number in force of a group, `NO_CLAIM` without owner."""
+        """Return the fencing number of a group's owner, or `NO_CLAIM`."""
         owner = self.owners.get(group)
         return NO_CLAIM if owner is None else owner.fencing
 
     def snapshot(self):
-        """Return the `Snapshot` of the fold."""
+        """Return the owners as a `Snapshot`."""
         return Snapshot(self.applied_offset, dict(self.owners))
 
     def contradicts(self, record):
-        """Return whether a record is a snapshot as of here that says otherwise."""
+        """Return whether a record is a snapshot at this offset with other owners."""
         content = read_record(record.body)
         if not isinstance(content, Snapshot):
             return False
@@ -102,15 +106,15 @@
 
 
 @functools.singledispatch
-def _judge(content, record, fold):
+def _apply_content(content, record, fold):
     return ClaimVerdict(ClaimStatus.INVALID, record)
 
 
-@_judge.register
+@_apply_content.register
 def _(content: Claim, record, fold):
     before = fold.owners.get(content.group)
-    # Offsets rise, so once a claim is granted no copy of it and no other claim made
-    # for the same predecessor can be, however late it lands.
+    # Offsets only increase, so once a claim is granted, no copy of it and no other
+    # claim that supersedes the same predecessor is granted, however late it arrives.
     if content.supersedes != fold.fencing(content.group):
         return ClaimVerdict(ClaimStatus.STALE, record, content, before)
     owner = Owner(content.host, content.incarnation, record.offset)
@@ -118,37 +122,37 @@
     return ClaimVerdict(ClaimStatus.GRANTED, record, content, before)
 
 
-@_judge.register
+@_apply_content.register
 def _(content: Snapshot, record, fold):
     return ClaimVerdict(ClaimStatus.SNAPSHOT, record)
 
 
-@_judge.register
+@_apply_content.register
 def _(content: Reset, record, fold):
     fold.owners.clear()
     return ClaimVerdict(ClaimStatus.RESET, record)
 
 
-def base_of(records, first_offset):
-    """Return the fold to start from, from the oldest usable place, or None.
+def find_base(records, first_offset):
+    """Return the fold from which the kept records can be replayed.
 
     Parameters
     ----------
     records : list of LogRecord
-        All kept records.
+        All records that the log retains.
     first_offset : int
-        Offset of the oldest kept record.
+        Offset of the oldest retained record.
 
     Returns
     -------
     OwnershipFold or None
-        None if the claims in force may have expired.
+        The fold at the oldest usable base; None if claims in force may have expired.
 
     Notes
     -----
-    A snapshot is usable if no record after the offset that it stands for has expired,
-    and not merely if it's kept: a snapshot that landed late would otherwise bring back
-    an owner who had been superseded by a claim that expired since.
+    A snapshot is usable only if no record after its applied offset has expired.  It is
+    not enough that the snapshot itself is retained: a snapshot that was appended late
+    could restore an owner that a claim, expired since, had superseded.
     """
     if first_offset == 0:
         return OwnershipFold()
--- a/siskinthread/ownership/_liveness.py
+++ b/siskinthread/ownership/_liveness.py
@@ -1,17 +1,17 @@
-"""Who is suspected, from heartbeats and the host list."""
+"""Failure detection of owners from heartbeats and the host list."""
 
 from siskinthread.timing import Deadline
 
 
 class Heartbeats:
-    """Deadlines of the next heartbeat of each owner.
+    """Deadlines for the next heartbeat of each owner.
 
     Parameters
     ----------
     settings : OwnershipSettings
-        Longest silence.
+        ``silence_limit_s``, the longest time between two heartbeats.
     clock : Clock
-        The process's clock.
+        Clock for the deadlines.
     """
 
     __slots__ = ("_clock", "_deadlines", "_silence_limit_s")
@@ -22,14 +22,14 @@
         self._deadlines = {}
 
     def heard(self, host):
-        """Take in a sign of life."""
+        """Record a heartbeat of a host."""
         self._deadlines[host] = Deadline.after(self._clock, self._silence_limit_s)
 
-    def silent(self, host):
-        """Return whether a host was silent for too long.
+    def is_silent(self, host):
+        """Return whether no heartbeat of a host came within ``silence_limit_s``.
 
-        One never heard of gets the whole time from the first question on: a process
-        that just started must not suspect everybody.
+        For a host without any heartbeat so far, the time starts at the first call, so
+        that a process that just started does not suspect every host.
         """
         if host not in self._deadlines:
             self.heard(host)
@@ -37,14 +37,18 @@
 
 
 class Liveness:
-    """Whether a host is suspected; wrong answers cost claims, never safety.
+    """Failure detector for owners.
 
     Parameters
     ----------
     membership : siskinthread.membership.MembershipView
-        The host list as it is believed.
+        The known agents, and which hosts are leaving.
     heartbeats : Heartbeats
-        Signs of life.
+        Heartbeats of the owners.
+
+    Notes
+    -----
+    A false suspicion costs a needless claim, never safety.
     """
 
     __slots__ = ("_heartbeats", "_membership")
@@ -53,10 +57,13 @@
         self._membership = membership
         self._heartbeats = heartbeats
 
-    def suspected(self, host):
-        """Return whether a host is silent, leaving, or gone from the host list."""
+    def is_suspected(self, host):
+        """Return whether a host is silent, leaving, or missing from the host list.
+
+        An empty set of agents counts as unknown and makes no host suspected.
+        """
         agents = self._membership.agents()
         gone = bool(agents) and host not in agents
         if gone or self._membership.is_leaving(host):
             return True
-        return self._heartbeats.silent(host)
+        return self._heartbeats.is_silent(host)
--- a/siskinthread/ownership/_reader.py
+++ b/siskinthread/ownership/_reader.py
@@ -1,23 +1,23 @@
-"""Reading the ownership stream into a fold."""
+"""Reader that folds the ownership stream."""
 
 from siskinthread.configuration._reading import Condition
-from siskinthread.ownership._fold import base_of
+from siskinthread.ownership._fold import find_base
 from siskinthread.ownership._tail import LogTail
 
 
 class ClaimReading:
-    """Outcome of reading the stream to its end.
+    """Result of reading the stream to its end.
 
     Parameters
     ----------
     condition : Condition
-        Whether it could be followed.
+        Whether the stream could be read on from the last folded record.
     detail : str
-        One sentence about any other condition than GOOD.
+        Explanation of any other condition than ``GOOD``.
     verdicts : list of ClaimVerdict
-        Of the records that were folded.
+        Verdicts of the folded records.
     diverged : bool
-        Whether a snapshot contradicts the own fold.
+        Whether a snapshot in the stream contradicts the reader's fold.
     """
 
     __slots__ = ("condition", "detail", "diverged", "verdicts")
@@ -30,7 +30,7 @@
 
 
 class ClaimReader:
-    """Keeps a fold up to date with the stream; fencing numbers never fall.
+    """Reader that keeps a fold up to date; its fencing numbers never decrease.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
     Attributes
     ----------
     fold : OwnershipFold or None
-        None until the stream was read and had a place to start from.
+        None until the stream was read from a usable base.
     """
 
     __slots__ = ("_client", "_stream", "_tail", "fold")
@@ -59,12 +59,12 @@
         Returns
         -------
         ClaimReading
-            With any other condition than ``GOOD`` the fold is as before.
+            Of any other condition than ``GOOD`` if the stream could not be followed.
 
         Raises
         ------
         PlatformUnavailableError
-            If the log gave no answer; what was folded stays.
+            If the log gave no answer; records folded so far stay folded.
         """
         if self.fold is None:
             return await self._start()
@@ -73,9 +73,9 @@
         while True:
             reading = await self._tail.read_on()
             if reading.condition is Condition.GAP:
-                # If there is no place to start from, the next read must meet the gap
-                # again and not fold on behind it.
-                self._tail.go_to(self.fold.applied_offset + 1)
+                # Without a usable base, the next read must find the gap again rather
+                # than continue after it.
+                self._tail.seek(self.fold.applied_offset + 1)
                 return await self._start()
             if reading.condition is not Condition.GOOD:
                 detail = f"the stream was {reading.condition} behind what was read"
@@ -88,21 +88,21 @@
 
     async def _start(self):
         tail = LogTail(self._client, self._stream)
-        records, first_offset = await _collect(tail)
-        fold = base_of(records, first_offset)
+        records, first_offset = await _read_all(tail)
+        fold = find_base(records, first_offset)
         if fold is None:
             detail = f"the stream starts at {first_offset}, no snapshot fits"
             return ClaimReading(Condition.GAP, detail)
         kept = [record for record in records if record.offset > fold.applied_offset]
         verdicts = [fold.apply(record) for record in kept]
-        if self._lowers(fold):
+        if self._would_regress(fold):
             detail = "the stream holds older claims than were read"
             return ClaimReading(Condition.REWRITTEN, detail)
         self.fold = fold
         self._tail = tail
         return ClaimReading(Condition.GOOD, "", verdicts)
 
-    def _lowers(self, fold):
+    def _would_regress(self, fold):
         if self.fold is None:
             return False
         if fold.applied_offset < self.fold.applied_offset:
@@ -113,17 +113,17 @@
         )
 
 
-async def _collect(tail):
-    """Return all kept records of a stream and the offset of the first."""
+async def _read_all(tail):
+    """Return all retained records of a stream and the offset of the first."""
     records = []
     first_offset = 0
     while True:
         reading = await tail.read_on()
         if reading.condition is Condition.GAP:
-            # What came before expired, perhaps while it was being read.
+            # Earlier records have expired, perhaps while they were being read.
             records = []
             at_start = reading.records
-            first_offset = at_start[0].offset if at_start else tail.wanted
+            first_offset = at_start[0].offset if at_start else tail.next_offset
         elif reading.condition is not Condition.GOOD:
             tail.restart()
             records, first_offset = [], 0
--- a/siskinthread/ownership/_records.py
+++ b/siskinthread/ownership/_records.py
@@ -1,7 +1,7 @@
 """Records of the ownership stream: claims, snapshots and resets.
 
-Their format is frozen: programs of two versions that folded one record differently
-would hold two owners for one group.  Another meaning takes another stream.
+The format is frozen: if two program versions folded a record differently, they would
+see two owners of a group.  Records of another meaning need another stream.
 """
 
 import json
@@ -13,16 +13,16 @@
 
 
 class Claim:
-    """A candidate asks to be the owner of a group.
+    """Claim of a candidate to own a group.
 
     Parameters
     ----------
     group : str
         Name of the model group.
     host, incarnation : str
-        The candidate.
+        Identity of the candidate's process.
     supersedes : int
-        Offset of the claim in force that it saw; `NO_CLAIM` if none.
+        Offset of the claim in force that the candidate read; `NO_CLAIM` if none.
     """
 
     __slots__ = ("group", "host", "incarnation", "supersedes")
@@ -35,7 +35,7 @@
 
     @property
     def claim_id(self):
-        """The same for every copy of the claim, as that is all that it says."""
+        """Identifier made of all fields, hence equal for every copy of the claim."""
         return f"{self.host}/{self.incarnation}/{self.group}/{self.supersedes}"
 
 
@@ -45,9 +45,9 @@
     Parameters
     ----------
     host, incarnation : str
-        The process.
+        Identity of the owning process.
     fencing : int
-        Offset of its claim.
+        Fencing number: the offset of the owner's claim.
     """
 
     __slots__ = ("fencing", "host", "incarnation")
@@ -58,7 +58,7 @@
         self.fencing = fencing
 
     def __eq__(self, other):
-        return isinstance(other, Owner) and self.plain() == other.plain()
+        return isinstance(other, Owner) and self.as_list() == other.as_list()
 
     def __hash__(self):
         return hash(self.fencing)
@@ -66,18 +66,18 @@
     def __repr__(self):
         return f"Owner({self.host!r}, {self.incarnation!r}, {self.fencing})"
 
-    def plain(self):
-        """Return the owner as a plain list for JSON."""
+    def as_list(self):
+        """Return the owner as a list for JSON."""
         return [self.host, self.incarnation, self.fencing]
 
 
 class Snapshot:
-    """All owners as of an offset.
+    """All owners at an offset.
 
     Parameters
     ----------
     applied_offset : int
-        Last record that was folded into it.
+        Offset of the last record folded into the snapshot.
     owners : dict of str to Owner
         Owners by group.
     """
@@ -90,10 +90,10 @@
 
 
 class Reset:
-    """Nobody owns any group from here on.
+    """Removal of all owners.
 
-    Written when the claims in force expired before they were copied.  Safety does not
-    need them: later claims have higher offsets.
+    Written when claims in force expired before a snapshot of them was appended.  This
+    is safe, because later claims have higher offsets and thus higher fencing numbers.
     """
 
     __slots__ = ()
@@ -111,8 +111,8 @@
 
 
 def encode_snapshot(snapshot):
-    """Return the body of a `Snapshot`; it depends on its content alone."""
-    owners = {group: owner.plain() for group, owner in snapshot.owners.items()}
+    """Return the body of a `Snapshot`; equal snapshots have equal bodies."""
+    owners = {group: owner.as_list() for group, owner in snapshot.owners.items()}
     return _encode("snapshot", applied_offset=snapshot.applied_offset, owners=owners)
 
 
@@ -122,7 +122,7 @@
 
 
 def read_record(body):
-    """Return the `Claim`, `Snapshot` or `Reset` of a body, or None if it is none."""
+    """Return the `Claim`, `Snapshot` or `Reset` of a body, or None if invalid."""
     try:
         value = json.loads(body)
         if value["format"] != FORMAT_VERSION:
@@ -162,11 +162,11 @@
 
 def _text(value):
     if not isinstance(value, str) or not value:
-        raise TypeError(f"{value!r} is no name")
+        raise TypeError(f"expected a non-empty string, got {value!r}")
     return value
 
 
 def _offset(value):
     if isinstance(value, bool) or not isinstance(value, int) or value < NO_CLAIM:
-        raise TypeError(f"{value!r} is no offset")
+        raise TypeError(f"expected a log offset, got {value!r}")
     return value
--- a/siskinthread/ownership/_tail.py
+++ b/siskinthread/ownership/_tail.py
@@ -1,4 +1,4 @@
-"""Reading on in a stream, with what may have become of it since the last read."""
+"""Incremental reader of a stream that detects gaps, truncation and rewriting."""
 
 from siskinthread.configuration._fold import record_digest
 from siskinthread.configuration._reading import Condition
@@ -8,17 +8,17 @@
 
 
 class TailReading:
-    """Outcome of one read.
+    """Result of one read.
 
     Parameters
     ----------
     condition : Condition
-        ``GOOD``; ``GAP`` if wanted records have expired, with `records` from the
-        oldest kept one on; ``SHORTENED`` or ``REWRITTEN`` without records.
+        ``GOOD``; ``GAP`` if the next records have expired, with `records` starting at
+        the oldest retained one; ``SHORTENED`` or ``REWRITTEN`` without records.
     records : list of LogRecord
         Consecutive records.
     at_end : bool
-        Whether the stream held nothing more.
+        Whether the end of the stream was reached.
     """
 
     __slots__ = ("at_end", "condition", "records")
@@ -30,7 +30,7 @@
 
 
 class LogTail:
-    """The place in a stream up to which it was read.
+    """Reader of a stream from its last read position.
 
     Parameters
     ----------
@@ -41,11 +41,11 @@
 
     Attributes
     ----------
-    wanted : int
+    next_offset : int
         Offset of the next record to read.
     """
 
-    __slots__ = ("_client", "_last_digest", "_stream", "wanted")
+    __slots__ = ("_client", "_last_digest", "_stream", "next_offset")
 
     def __init__(self, client, stream):
         self._client = client
@@ -53,12 +53,12 @@
         self.restart()
 
     def restart(self):
-        """Read from the beginning again."""
-        self.go_to(0)
+        """Continue from the beginning of the stream."""
+        self.seek(0)
 
-    def go_to(self, offset):
-        """Read from an offset on."""
-        self.wanted = offset
+    def seek(self, offset):
+        """Continue from an offset."""
+        self.next_offset = offset
         self._last_digest = None
 
     async def read_on(self, wait_s=0.0):
@@ -67,7 +67,7 @@
         Parameters
         ----------
         wait_s : float
-            How long the log may wait for a record, seconds.
+            Longest time that the log may wait for a record, seconds.
 
         Returns
         -------
@@ -76,37 +76,37 @@
         Raises
         ------
         PlatformUnavailableError
-            If the log gave no answer.
+            If the log gave no answer, or records other than the requested ones.
         """
-        wanted = self.wanted
-        span = await self._client.read(self._stream, wanted, READ_LIMIT, wait_s)
-        if span.next_offset < wanted:
+        next_offset = self.next_offset
+        span = await self._client.read(self._stream, next_offset, READ_LIMIT, wait_s)
+        if span.next_offset < next_offset:
             return TailReading(Condition.SHORTENED)
-        if span.first_offset > wanted:
+        if span.first_offset > next_offset:
             span = await self._client.read(self._stream, span.first_offset, READ_LIMIT)
             return self._advance(span, Condition.GAP)
-        if span.records and not await self._still_holds_last(span.first_offset):
+        if span.records and not await self._is_last_unchanged(span.first_offset):
             return TailReading(Condition.REWRITTEN)
         return self._advance(span, Condition.GOOD)
 
     def _advance(self, span, condition):
         records = span.records
         if records:
-            if condition is Condition.GOOD and records[0].offset != self.wanted:
+            if condition is Condition.GOOD and records[0].offset != self.next_offset:
                 raise PlatformUnavailableError(
-                    f"log: record {records[0].offset} came for {self.wanted}"
+                    f"log: got record {records[0].offset} instead of {self.next_offset}"
                 )
-            self.wanted = records[-1].offset + 1
+            self.next_offset = records[-1].offset + 1
             self._last_digest = record_digest(records[-1])
         elif condition is Condition.GAP:
-            self.wanted = span.first_offset
+            self.next_offset = span.first_offset
             self._last_digest = None
-        return TailReading(condition, records, self.wanted >= span.next_offset)
+        return TailReading(condition, records, self.next_offset >= span.next_offset)
 
-    async def _still_holds_last(self, first_offset):
-        # A stream that lost its tail and has grown again ends beyond the last record
-        # that was read, as a sound one does.  Only the record itself shows it.
-        last = self.wanted - 1
+    async def _is_last_unchanged(self, first_offset):
+        # A stream that lost its tail and has grown again ends beyond the last read
+        # record, as an intact stream does.  Only the content of that record differs.
+        last = self.next_offset - 1
         if self._last_digest is None or last < first_offset:
             return True
         span = await self._client.read(self._stream, last, 1)
--- a/siskinthread/ownership/_turns.py
+++ b/siskinthread/ownership/_turns.py
@@ -1,18 +1,18 @@
-"""Whose turn it is to claim, and when."""
+"""Schedule of the claims of a process, staggered among the candidates."""
 
 from siskinthread.routing import home_of
 from siskinthread.timing import Deadline
 
 
-class Turn:
-    """The turn of this process to claim a group.
+class ScheduledClaim:
+    """A claim that this process makes at a deadline.
 
     Parameters
     ----------
     supersedes : int
-        Claim that it would supersede.
+        Fencing number of the claim to be superseded.
     deadline : Deadline
-        When to claim unless another one has.
+        When to claim, unless another candidate has.
     """
 
     __slots__ = ("deadline", "supersedes")
@@ -22,32 +22,32 @@
         self.deadline = deadline
 
 
-class Turns:
-    """The turns of this process, in rendezvous order and jittered.
+class ClaimSchedule:
+    """Scheduled claims of this process, delayed by rendezvous position and jitter.
 
     Parameters
     ----------
     settings : OwnershipSettings
-        Time between two candidates.
+        ``claim_step_s``, the delay between two candidates.
     host : str
-        This host.
+        Name of this host.
     clock : Clock
-        The process's clock.
+        Clock for the deadlines.
     random : random.Random
-        Source of the jitter.
+        Source of jitter.
     """
 
-    __slots__ = ("_clock", "_host", "_random", "_step_s", "_turns")
+    __slots__ = ("_clock", "_host", "_random", "_step_s", "_claims")
 
     def __init__(self, settings, host, clock, random):
         self._step_s = settings.claim_step_s
         self._host = host
         self._clock = clock
         self._random = random
-        self._turns = {}
+        self._claims = {}
 
-    def wait_for(self, group, others, supersedes):
-        """Wait for the own turn to claim a group, unless it's being waited for.
+    def schedule(self, group, others, supersedes):
+        """Schedule a claim of a group, unless the same claim is scheduled already.
 
         Parameters
         ----------
@@ -56,41 +56,41 @@
         others : iterable of str
             Other candidates that are not suspected.
         supersedes : int
-            Claim in force.
+            Fencing number of the claim in force.
         """
-        turn = self._turns.get(group)
-        if turn is not None and turn.supersedes == supersedes:
+        claim = self._claims.get(group)
+        if claim is not None and claim.supersedes == supersedes:
             return
-        self._turns[group] = Turn(
-            supersedes, self._deadline(self._place(group, others))
+        self._claims[group] = ScheduledClaim(
+            supersedes, self._deadline(self._position(group, others))
         )
 
-    def put_off(self, group):
-        """Wait for another step before claiming again, after an answer was lost."""
-        self._turns[group].deadline = self._deadline(0)
+    def postpone(self, group):
+        """Delay the next attempt of a claim, in case the answer to this one is lost."""
+        self._claims[group].deadline = self._deadline(0)
 
-    def drop(self, group):
-        """Wait no more."""
-        self._turns.pop(group, None)
+    def cancel(self, group):
+        """Remove the scheduled claim of a group."""
+        self._claims.pop(group, None)
 
-    def keep(self, groups):
-        """Drop the turns of all other groups."""
-        for group in self._turns.keys() - set(groups):
-            del self._turns[group]
+    def retain(self, groups):
+        """Remove the scheduled claims of all groups but the given ones."""
+        for group in self._claims.keys() - set(groups):
+            del self._claims[group]
 
     def due(self):
-        """Return the groups whose turn has come."""
-        return [name for name, turn in self._turns.items() if turn.deadline.passed()]
+        """Return the groups whose claims are due."""
+        return [name for name, claim in self._claims.items() if claim.deadline.passed()]
 
     def left_s(self, limit_s):
-        """Return the time until the next turn, at most a limit, seconds."""
-        left = [turn.deadline.left_s() for turn in self._turns.values()]
+        """Return the time until the next claim, at most `limit_s`, seconds."""
+        left = [claim.deadline.left_s() for claim in self._claims.values()]
         return min([limit_s, *left])
 
-    def _place(self, group, others):
+    def _position(self, group, others):
         pairs = ([other, self._host] for other in others if other != self._host)
         return sum(home_of(pair, group) != self._host for pair in pairs)
 
-    def _deadline(self, place):
-        wait_s = (place + self._random.random()) * self._step_s
+    def _deadline(self, position):
+        wait_s = (position + self._random.random()) * self._step_s
         return Deadline.after(self._clock, wait_s)
--- a/siskinthread/ownership/_view.py
+++ b/siskinthread/ownership/_view.py
@@ -1,20 +1,20 @@
-"""What the rest of a process sees of the ownership."""
+"""View of the owners for the other parts of a process."""
 
 from siskinthread.configuration._reading import Condition
 
 
 class OwnershipView:
-    """Owners of the groups as of the last read.
+    """Owners of the groups at the last read.
 
     Attributes
     ----------
     condition : Condition or None
-        Whether the stream could be followed at the last answer; None before the first.
+        Condition of the stream at the last answer of the log; None before the first.
 
     Notes
     -----
-    In an outage the last owners stay.  What is read here may have passed: orders carry
-    the fencing number, and the gates refuse old ones.
+    During an outage of the log the last owners stay.  The view may be stale; therefore
+    orders carry the fencing number, and the gates of the ranks refuse outdated ones.
     """
 
     __slots__ = ("_listeners", "_owners", "condition")
@@ -29,12 +29,12 @@
         return self._owners.get(group)
 
     def fencing(self, group):
-        """Return the fencing number in force of a group, or None without owner."""
+        """Return the fencing number of a group's owner, or None without owner."""
         owner = self._owners.get(group)
         return None if owner is None else owner.fencing
 
-    def followed(self):
-        """Return whether the last answer of the log could be followed."""
+    def is_following(self):
+        """Return whether the stream could be followed at the log's last answer."""
         return self.condition is Condition.GOOD
 
     def listen(self, callback):
@@ -42,7 +42,7 @@
         self._listeners.append(callback)
 
     def replace(self, owners):
-        """Take in the owners of the fold, a dict of group to `Owner`."""
+        """Replace the owners by a dict of group to `Owner`; call the listeners."""
         before, self._owners = self._owners, dict(owners)
         for group in sorted(before.keys() | self._owners.keys()):
             owner = self._owners.get(group)
--- a/siskinthread/ownership/tests/_explorer.py
+++ b/siskinthread/ownership/tests/_explorer.py
@@ -1,7 +1,7 @@
-"""Enumerates two candidates' faults together with the gates of their group's ranks.
+"""Enumeration of faults of two candidates and of the gates of their group's ranks.
 
-The choices, the gates' faults and the engines are those of the explorer of map changes.
-Here the fencing numbers come from real claims on a log with faults of its own.
+The choices, the faults of the gates and the engines are those of the explorer of map
+changes.  Here the fencing numbers come from real claims on a log with its own faults.
 """
 
 from siskinthread.errors import PlatformUnavailableError
@@ -21,40 +21,40 @@
 from siskinthread.timing import ManualClock
 
 FIRST, SECOND = "a", "b"
-TAKEN, ANSWER_LOST, LATE, REFUSED, OTHER_FIRST = range(5)
-APPEND_FATES = 5
-NOTHING, FIRST_STEPS, LATE_LANDS, OUTAGE, REPEATED = range(5)
-EVENTS = 5
-STEPS_LIMIT = 12
+SUCCEEDS, ANSWER_LOST, APPEND_DELAYED, APPEND_FAILS, OTHER_STEPS_FIRST = range(5)
+APPEND_FAULT_COUNT = 5
+NOTHING, FIRST_STEPS, DELAYED_APPEND_LANDS, OUTAGE, REPEATED = range(5)
+EVENT_COUNT = 5
+MAX_STEP_COUNT = 12
 STEP_S = 4.0
-RACE_STEPS = 2
+STEPS_PER_ROUND = 2
 
 
 class FaultyLogs(FakeLogs):
-    """A log whose appends meet chosen fates."""
+    """A log that injects a chosen fault into each append."""
 
     def __init__(self, clock, choices):
         super().__init__(clock)
         self.choices = choices
         self.faulty = True
-        self.let_other_step = None
+        self.on_other_steps_first = None
 
     async def append(self, stream, body):
-        fate = self.choices.pick(APPEND_FATES) if self.faulty else TAKEN
+        fault = self.choices.pick(APPEND_FAULT_COUNT) if self.faulty else SUCCEEDS
         log = self.streams[stream]
-        if fate == OTHER_FIRST:
-            self.let_other_step()
-        if fate == REFUSED:
+        if fault == OTHER_STEPS_FIRST:
+            self.on_other_steps_first()
+        if fault == APPEND_FAILS:
             raise PlatformUnavailableError("log: no answer")
-        if fate == LATE:
+        if fault == APPEND_DELAYED:
             log.hold_appends = 1
-        if fate == ANSWER_LOST:
+        if fault == ANSWER_LOST:
             log.lose_answers = 1
         return await super().append(stream, body)
 
 
 class Candidates:
-    """Two candidates of a group on one log."""
+    """Two candidates of a group that share one log."""
 
     def __init__(self, choices):
         self.choices = choices
@@ -65,38 +65,41 @@
         self.first = Process(self.logs, FIRST, hosts, self.suspects)
         self.second = Process(self.logs, SECOND, hosts, self.suspects)
         self._stepping = []
-        self.logs.let_other_step = self._let_other_step
+        self.logs.on_other_steps_first = self._step_other
 
     def step(self, process):
-        """Let a process step; the other may come between its reading and its append."""
+        """Run one step of a process.
+
+        The other process may step between its read and its append.
+        """
         self._stepping.append(process)
         process.step()
         self._stepping.pop()
 
-    def _let_other_step(self):
+    def _step_other(self):
         others = [self.first, self.second]
         idle = [process for process in others if process not in self._stepping]
         for process in idle:
             self.step(process)
 
     def claim(self, process):
-        """Let a process step until it owns the group, with events in between."""
-        for _ in range(STEPS_LIMIT):
+        """Run steps of a process until it owns the group, with events in between."""
+        for _ in range(MAX_STEP_COUNT):
             self.clock.advance(STEP_S)
             self.step(process)
             self.logs.down = False
             if process.owns():
                 return
-            self.interfere()
+            self.inject_event()
         raise AssertionError(f"{process.host} never owns the group")
 
-    def interfere(self):
-        """Let a chosen event happen."""
-        event = self.choices.pick(EVENTS) if self.logs.faulty else NOTHING
+    def inject_event(self):
+        """Inject a chosen event."""
+        event = self.choices.pick(EVENT_COUNT) if self.logs.faulty else NOTHING
         stream = self.logs.streams["ownership"]
         if event == FIRST_STEPS:
             self.step(self.first)
-        if event == LATE_LANDS:
+        if event == DELAYED_APPEND_LANDS:
             stream.release()
         if event == OUTAGE:
             self.logs.down = True
@@ -104,13 +107,13 @@
             stream.put(stream.records[-1].body)
 
     def end_faults(self):
-        """Let the log be sound and everything late land."""
+        """Remove all faults of the log and apply the delayed appends."""
         self.logs.faulty = False
         self.logs.down = False
         self.logs.streams["ownership"].release()
 
     def check(self):
-        """Check that both hold one owner, and that no claim was granted twice."""
+        """Check that both see the same owner, and that no claim was granted twice."""
         self.end_faults()
         for process in (self.first, self.second):
             process.confirm()
@@ -129,32 +132,32 @@
 
 
 def race(choices):
-    """Run two candidates in turn, with events and suspicions in between."""
+    """Run two candidates alternately, with events and suspicions in between."""
     candidates = Candidates(choices)
     for suspect in (None, FIRST):
         candidates.suspects.hosts = {suspect} - {None}
-        for process in (candidates.second, candidates.first) * RACE_STEPS:
+        for process in (candidates.second, candidates.first) * STEPS_PER_ROUND:
             candidates.clock.advance(STEP_S)
             candidates.step(process)
             candidates.logs.down = False
-            candidates.interfere()
+            candidates.inject_event()
     candidates.check()
 
 
 def take_over(checks_fencing, pause_after):
-    """Return a run: an owner pauses in a map change, another takes over, it wakes.
+    """Return a run in which an owner pauses in a map change and wakes superseded.
 
     Parameters
     ----------
     checks_fencing : bool
-        Whether the engines refuse old numbers.
+        Whether the engines refuse outdated fencing numbers.
     pause_after : int
         Broadcasts of the first owner before it pauses.
 
     Notes
     -----
-    The first owner wakes within any broadcast of its successor, or behind all of them,
-    always behind its last reading of the log: the check is taken for useless here.
+    The first owner wakes within any broadcast of its successor, or after all of them.
+    It always wakes after its last read of the log, so that this check can't stop it.
     """
 
     def run(choices):
@@ -170,7 +173,7 @@
         new = candidates.second.view.fencing(GROUP)
         assert new > old
         successor = MapChange(group, new)
-        run_to_end(successor.recover(_map_of))
+        run_to_end(successor.recover(_map_of_version))
         version = group.engines[0].version
         result = run_to_end(successor.change(version, LAST_VERSION, None))
         group.paused = None
@@ -179,7 +182,7 @@
             versions = {engine.version for engine in group.engines}
             assert versions == {LAST_VERSION}, f"the change was undone: {versions}"
         if not any(choice for choice, _ in choices.made):
-            # The gates refuse a successor whose number is no higher.
+            # The gates refuse a successor whose fencing number is not higher.
             assert result is ChangeResult.CHANGED
         owner = candidates.check()
         group.check()
@@ -193,5 +196,5 @@
     return MapChange(ranks, fencing).change(OLD_VERSION, NEW_VERSION, None)
 
 
-def _map_of(version):
+def _map_of_version(version):
     return None
--- a/siskinthread/ownership/tests/fakes.py
+++ b/siskinthread/ownership/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A log of several streams in memory, with retention by a clock set by hand."""
+"""An in-memory log of several streams, with retention by a manual clock."""
 
 import collections
 
@@ -12,17 +12,19 @@
 
 
 class FakeLogs:
-    """Takes the place of `siskinthread.shared_services.LogClient`.
+    """Fake of `siskinthread.shared_services.LogClient`.
 
     Attributes
     ----------
     streams : dict of str to FakeLog
-        Streams with their own faults.
+        Streams, each with its own faults.
     appends : list of tuple
-        Monotonic time and stream of each append that was tried.
+        Monotonic time and stream of each attempted append.
+    down : bool
+        Whether the log is unavailable.
     lag_s : float
-        Time after which readers see what was appended; many processes that step at one
-        moment of the clock are then as if they ran at once.
+        Time after which readers see an appended record.  With a lag, processes that
+        step one after the other at the same time of the clock behave as if concurrent.
     """
 
     def __init__(self, clock):
@@ -37,7 +39,7 @@
         return self._stream(stream).put(body)
 
     def expire(self, retention_s):
-        """Drop the records that are older than the retention."""
+        """Remove the records that are older than the retention."""
         oldest_ms = self.clock.unix_ms() - int(retention_s * 1000)
         for log in self.streams.values():
             kept = [record for record in log.records if record.at_ms >= oldest_ms]
--- a/siskinthread/ownership/tests/processes.py
+++ b/siskinthread/ownership/tests/processes.py
@@ -1,4 +1,4 @@
-"""Processes that claim a group, on one clock that is set by hand."""
+"""Processes that claim a group, on a shared manual clock."""
 
 import random
 
@@ -12,12 +12,12 @@
 
 
 class Suspects:
-    """Takes the place of `Liveness`: whoever is in the set is suspected."""
+    """Fake of `Liveness` that suspects a given set of hosts."""
 
     def __init__(self):
         self.hosts = set()
 
-    def suspected(self, host):
+    def is_suspected(self, host):
         return host in self.hosts
 
 
@@ -29,11 +29,13 @@
     logs : FakeLogs
         The log.
     host : str
-        Its name; the seed of its jitter comes from it.
+        Name of the agent's host, also used to seed its jitter.
     hosts : list of str
-        All agents of the group.
+        Hosts of all agents of the group.
     suspects : Suspects
-        Shared by all.
+        Suspected hosts, shared by all processes.
+    incarnation : str
+        Incarnation of the process on its host.
     """
 
     def __init__(self, logs, host, hosts, suspects, incarnation="1"):
@@ -70,13 +72,13 @@
 
 
 def make_processes(logs, hosts):
-    """Return a process for each host, and their suspects."""
+    """Return a process for each host, and their shared `Suspects`."""
     suspects = Suspects()
     return [Process(logs, host, hosts, suspects) for host in hosts], suspects
 
 
 def run_for(processes, clock, seconds, step_s=0.25):
-    """Let every process step again and again."""
+    """Advance the clock in steps and run every process at each step."""
     for _ in range(int(seconds / step_s)):
         clock.advance(step_s)
         for process in processes:
@@ -84,5 +86,5 @@
 
 
 def owners_seen(processes):
-    """Return the set of owners in the views of processes."""
+    """Return the set of owners in the views of the processes."""
     return {process.view.owner(GROUP) for process in processes}
--- a/siskinthread/ownership/tests/test_claimer.py
+++ b/siskinthread/ownership/tests/test_claimer.py
@@ -1,4 +1,4 @@
-"""Claims through lost answers, outages, expiry and a log that lost records."""
+"""Tests of claims under lost answers, outages, expiry and loss of records."""
 
 from siskinthread.ownership import Heartbeats, Liveness, OwnershipSettings
 from siskinthread.ownership._records import (
@@ -23,8 +23,8 @@
 HOSTS = ["h1", "h2", "h3"]
 
 
-def started(hosts=HOSTS, lag_s=0.0):
-    """Return a log and processes one of which owns the group, and that one."""
+def start_processes(hosts=HOSTS, lag_s=0.0):
+    """Return a log, processes, their suspects, and the process that owns the group."""
     logs = FakeLogs(ManualClock())
     logs.lag_s = lag_s
     processes, suspects = make_processes(logs, hosts)
@@ -35,7 +35,7 @@
 
 
 def claims(logs):
-    """Return the claims that the log holds."""
+    """Return the claims in the log."""
     contents = [
         read_record(record.body) for record in logs.streams["ownership"].records
     ]
@@ -43,29 +43,29 @@
 
 
 def test_one_of_many_candidates_claims():
-    """Symptom: a group's agents all append at once when their owner dies.
+    """Guards against a burst of claims when the owner of a group fails.
 
-    Events: 32 agents start; then the owner is suspected.  Cause: no order among the
-    candidates, or no jitter.
+    32 agents start, and then the owner is suspected.  Without an order among the
+    candidates or without jitter, all agents would append at once.
     """
     hosts = [f"h{number}" for number in range(32)]
-    logs, processes, suspects, owner = started(hosts, lag_s=0.5)
+    logs, processes, suspects, owner = start_processes(hosts, lag_s=0.5)
     assert len(claims(logs)) <= 2
     before = len(claims(logs))
     suspects.hosts.add(owner.host)
     run_for(processes, logs.clock, 200)
     assert len(claims(logs)) <= before + 2
-    (seen,) = owners_seen(processes)
-    assert seen.host != owner.host
-    assert seen.fencing > before - 1
+    (owner_seen,) = owners_seen(processes)
+    assert owner_seen.host != owner.host
+    assert owner_seen.fencing > before - 1
 
 
 def test_owner_who_is_heard_again_in_time_stays():
-    """A suspicion that ends before a candidate's turn leads to no claim."""
-    logs, processes, suspects, owner = started()
+    """A suspicion that ends before any candidate's claim is due leads to no claim."""
+    logs, processes, suspects, owner = start_processes()
     before = len(claims(logs))
     for process in processes:
-        process.claimer._turns._step_s = 60.0
+        process.claimer._claim_schedule._step_s = 60.0
     suspects.hosts.add(owner.host)
     run_for(processes, logs.clock, 0.5)
     suspects.hosts.clear()
@@ -74,12 +74,12 @@
 
 
 def test_replaced_agent_claims_its_group_anew():
-    """Symptom: a new process acts under the number of the one before it on its host.
+    """Guards against a new process that uses its predecessor's fencing number.
 
-    Events: the owner's agent is replaced, host and name stay.  Cause: owners that are
-    known by their host alone; a late order of the old process would then be taken.
+    The owner's agent is replaced on the same host.  If owners were identified by host
+    alone, a late order of the old process would be accepted.
     """
-    logs, processes, suspects, owner = started()
+    logs, processes, suspects, owner = start_processes()
     fencing = owner.view.fencing(GROUP)
     replaced = Process(logs, owner.host, HOSTS, suspects, incarnation="2")
     assert replaced.confirm() is None
@@ -90,10 +90,10 @@
 
 
 def test_lost_answer_of_a_claim_leads_to_no_second_one():
-    """Symptom: a group changes its owner again and again.
+    """Guards against repeated changes of a group's owner.
 
-    Events: the claim takes effect, its answer is lost.  Cause: appending again without
-    looking for the own claim.
+    A claim takes effect, but its answer is lost.  The claimer must find its own claim
+    in the log instead of appending another one.
     """
     logs = FakeLogs(ManualClock())
     logs.streams["ownership"].lose_answers = 1
@@ -104,10 +104,10 @@
 
 
 def test_late_copy_of_a_claim_changes_nothing():
-    """Symptom: a process that was superseded long ago is owner again.
+    """Guards against restoring an owner that was superseded.
 
-    Events: a claim's append hangs, its second try is granted, another process takes
-    over, and the first append lands.  Cause: granting by the last claim.
+    The append of a claim hangs, its second attempt is granted, another process takes
+    over, and then the first append takes effect.  The last claim must not win.
     """
     logs = FakeLogs(ManualClock())
     logs.streams["ownership"].hold_appends = 1
@@ -118,17 +118,17 @@
     run_for(processes[1:], logs.clock, 60)
     logs.streams["ownership"].release()
     run_for(processes, logs.clock, 200)
-    (seen,) = owners_seen(processes)
-    assert (seen.host, seen.fencing) == ("h2", 1)
+    (owner_seen,) = owners_seen(processes)
+    assert (owner_seen.host, owner_seen.fencing) == ("h2", 1)
 
 
 def test_in_an_outage_the_owner_goes_on_and_nobody_takes_over():
-    """Symptom: a group without controller, or with two, while the log is down.
+    """Guards against a group with no owner or two owners during an outage of the log.
 
-    Events: the log goes down, then the owner is suspected.  Cause: an owner that gives
-    up without the log, or a candidate that acts before its claim is granted.
+    The log becomes unavailable, then the owner is suspected.  The owner must continue
+    without the log, and a candidate must not act before its claim is granted.
     """
-    logs, processes, suspects, owner = started()
+    logs, processes, suspects, owner = start_processes()
     fencing = owner.view.fencing(GROUP)
     logs.down = True
     suspects.hosts.add(owner.host)
@@ -143,13 +143,13 @@
 
 
 def test_claims_are_copied_before_they_expire():
-    """Symptom: after a quiet day no starting node knows who owns a group.
+    """Guards against losing the owner of a group to the retention of the log.
 
-    Events: three days without claims, on a log that keeps one.  Cause: claims that
-    nobody appended again.
+    No claim is made for three days, and the log retains records for one day.  Without
+    snapshots, a starting node would find no owner.
     """
-    logs, processes, suspects, owner = started()
-    known = owner.view.owner(GROUP)
+    logs, processes, suspects, owner = start_processes()
+    known_owner = owner.view.owner(GROUP)
     for _ in range(3 * 24 * 6):
         logs.clock.advance(600.0)
         logs.expire(DAY_S)
@@ -157,18 +157,18 @@
             process.step()
     newcomer = Process(logs, "h9", [*HOSTS, "h9"], suspects)
     run_for([newcomer], logs.clock, 60)
-    assert newcomer.view.owner(GROUP) == known
+    assert newcomer.view.owner(GROUP) == known_owner
     assert sum(process.count("copied") for process in processes) <= 12
 
 
 def test_claims_that_expired_uncopied_are_given_up_once():
-    """Symptom: nobody can ever claim the group again.
+    """Guards against a group that no process can claim any more.
 
-    Events: all agents but a paused owner are down for longer than the log keeps
-    records.  Cause: no place to start the fold from.  The owner must not fold on behind
-    the gap either, as if nobody could have superseded it there.
+    All agents but a paused owner are down for longer than the retention of the log, so
+    that the fold has no usable base.  The owner must not continue after the gap either,
+    since another process may have superseded it there.
     """
-    logs, processes, _, owner = started()
+    logs, processes, _, owner = start_processes()
     fencing = owner.view.fencing(GROUP)
     logs.put("ownership", b"{}")
     logs.clock.advance(2 * DAY_S)
@@ -178,46 +178,46 @@
     logs.lag_s = 0.5
     newcomers, _ = make_processes(logs, HOSTS)
     run_for(newcomers, logs.clock, 400)
-    (seen,) = owners_seen(newcomers)
-    assert seen.fencing > fencing
+    (owner_seen,) = owners_seen(newcomers)
+    assert owner_seen.fencing > fencing
     assert sum(process.count("gave_up_expired") for process in newcomers) == 1
-    # The owner of before learns it as soon as it reads.
+    # The previous owner sees the new one with its next read.
     run_for([owner], logs.clock, 60)
-    assert owner.view.owner(GROUP) == seen
+    assert owner.view.owner(GROUP) == owner_seen
 
 
 def test_shortened_log_stops_the_owner_and_all_claims():
-    """Symptom: two processes act under one fencing number.
+    """Guards against two processes that act with the same fencing number.
 
-    Events: the log loses the claim in force, and another claim is appended at the same
-    offset.  Cause: a view that follows the log back.
+    The log loses the claim in force, and another claim is appended at the same offset.
+    The view must not follow a log that went back.
     """
-    logs, processes, suspects, owner = started()
-    known = owner.view.owner(GROUP)
+    logs, processes, suspects, owner = start_processes()
+    known_owner = owner.view.owner(GROUP)
     stream = logs.streams["ownership"]
-    stream.truncate(known.fencing)
+    stream.truncate(known_owner.fencing)
     assert owner.confirm() is None
     suspects.hosts.add(owner.host)
     run_for(processes, logs.clock, 200)
-    assert stream.next_offset == known.fencing
+    assert stream.next_offset == known_owner.fencing
     logs.put("ownership", encode_claim(Claim(GROUP, "h9", "1", -1)))
     logs.put("ownership", encode_claim(Claim(GROUP, "h8", "1", 0)))
     run_for(processes, logs.clock, 200)
-    assert owners_seen(processes) == {known}
+    assert owners_seen(processes) == {known_owner}
     assert owner.confirm() is None
     assert owner.count("rewritten") > 0
 
 
 def test_older_claims_behind_a_gap_are_not_taken_over():
-    """Symptom: an owner's fencing number falls.
+    """Guards against a fencing number that decreases.
 
-    Events: the log is replaced by one that starts later, with a copy of older claims.
-    Cause: starting anew behind a gap without a look at what was known.
+    The log is replaced by one that starts later, with a snapshot of older claims.  A
+    new start after the gap must be compared with the owners known so far.
     """
-    logs, processes, suspects, owner = started()
+    logs, processes, suspects, owner = start_processes()
     suspects.hosts.add(owner.host)
     run_for(processes, logs.clock, 200)
-    (known,) = owners_seen(processes)
+    (known_owner,) = owners_seen(processes)
     stream = logs.streams["ownership"]
     stream.records.clear()
     stream.first_offset = 50
@@ -225,23 +225,23 @@
     for record_body in [b"{}"] * 11 + [encode_snapshot(older)]:
         stream.put(record_body)
     run_for(processes, logs.clock, 200)
-    assert owners_seen(processes) == {known}
+    assert owners_seen(processes) == {known_owner}
     assert all(process.confirm() is None for process in processes)
 
 
 def test_copy_that_differs_from_the_own_fold_is_reported():
-    """A wrong copy is counted, and changes no owner in a process that has read on."""
-    logs, processes, _, owner = started()
-    known = owner.view.owner(GROUP)
+    """A wrong snapshot is counted and changes no owner in an up-to-date process."""
+    logs, processes, _, owner = start_processes()
+    known_owner = owner.view.owner(GROUP)
     wrong = Snapshot(owner.claimer._reader.fold.applied_offset, {})
     logs.put("ownership", encode_snapshot(wrong))
     run_for(processes, logs.clock, 200)
-    assert owners_seen(processes) == {known}
+    assert owners_seen(processes) == {known_owner}
     assert all(process.count("diverged") == 1 for process in processes)
 
 
 class Membership:
-    """Takes the place of `MembershipView`."""
+    """Fake of `MembershipView`."""
 
     def __init__(self, agents=(), leaving=()):
         self._agents = dict.fromkeys(agents)
@@ -255,21 +255,21 @@
 
 
 def test_silent_leaving_and_missing_hosts_are_suspected():
-    """Symptom: a process that starts claims every group, or nobody claims a dead one's.
+    """Guards against suspecting every owner at the start, or not suspecting a dead one.
 
-    Events: nothing was heard yet; the host list is empty, lacks a host or says that it
-    is leaving; heartbeats stop.  Cause: silence counted from before the first question,
-    or an empty list that is believed.
+    No heartbeat has come yet; the host list is empty, lacks a host or lists it as
+    leaving; heartbeats stop.  Silence must count from the first call, and an empty list
+    must make no host suspected.
     """
     clock = ManualClock()
     heartbeats = Heartbeats(OwnershipSettings(), clock)
     liveness = Liveness(Membership(), heartbeats)
-    assert not liveness.suspected("h1")
+    assert not liveness.is_suspected("h1")
     clock.advance(5.0)
     heartbeats.heard("h1")
     clock.advance(5.0)
-    assert not liveness.suspected("h1")
-    assert Liveness(Membership(["h2"]), heartbeats).suspected("h1")
-    assert Liveness(Membership(["h1"], ["h1"]), heartbeats).suspected("h1")
+    assert not liveness.is_suspected("h1")
+    assert Liveness(Membership(["h2"]), heartbeats).is_suspected("h1")
+    assert Liveness(Membership(["h1"], ["h1"]), heartbeats).is_suspected("h1")
     clock.advance(5.0)
-    assert liveness.suspected("h1")
+    assert liveness.is_suspected("h1")
--- a/siskinthread/ownership/tests/test_fold.py
+++ b/siskinthread/ownership/tests/test_fold.py
@@ -1,8 +1,8 @@
-"""The fold of claims against a naive replay, from the start and from snapshots."""
+"""Tests of the fold against a naive replay, from the start and from snapshots."""
 
 from hypothesis import given, settings, strategies
 
-from siskinthread.ownership._fold import base_of, OwnershipFold
+from siskinthread.ownership._fold import find_base, OwnershipFold
 from siskinthread.ownership._records import (
     Claim,
     encode_claim,
@@ -22,13 +22,13 @@
     strategies.sampled_from([CLAIM, CLAIM, CLAIM, CLAIM, SNAPSHOT, RESET, JUNK]),
     strategies.sampled_from(GROUPS),
     strategies.sampled_from(["a", "b", "c"]),
-    # How many records ago the claim, or the snapshot, was made.
+    # By how many records the view of the writer lags.
     strategies.integers(min_value=0, max_value=4),
 )
 
 
 def naive_owner(records, group):
-    """Return the owner by following the claims one by one through all records."""
+    """Return a group's owner by following its chain of claims from the last reset."""
     resets = [
         record.offset
         for record in records
@@ -56,19 +56,19 @@
 
 
 def build_log(events):
-    """Return records whose writers had read up to some records ago."""
+    """Return records whose writers lag behind the log by the given numbers."""
     records = []
-    for what, group, host, age in events:
-        seen = records[: max(0, len(records) - age)]
-        if what == CLAIM:
-            owner = naive_owner(seen, group)
+    for kind, group, host, age in events:
+        read_records = records[: max(0, len(records) - age)]
+        if kind == CLAIM:
+            owner = naive_owner(read_records, group)
             supersedes = NO_CLAIM if owner is None else owner.fencing
             record_body = encode_claim(Claim(group, host, "1", supersedes))
-        elif what == SNAPSHOT:
-            snapshot = Snapshot(len(seen) - 1, naive_owners(seen))
+        elif kind == SNAPSHOT:
+            snapshot = Snapshot(len(read_records) - 1, naive_owners(read_records))
             record_body = encode_snapshot(snapshot)
         else:
-            record_body = encode_reset() if what == RESET else b'{"format":2}'
+            record_body = encode_reset() if kind == RESET else b'{"format":2}'
         records.append(LogRecord(len(records), 0, record_body))
     return records
 
@@ -76,17 +76,17 @@
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(strategies.lists(EVENTS, max_size=25))
 def test_fold_agrees_with_a_naive_replay_from_any_place(events):
-    """Symptom: two nodes hold two owners for one group.
+    """Guards against two nodes that see different owners of a group.
 
-    Events: claims, snapshots and resets of writers who lag, in any order; nodes that
-    start after any number of records expired.  Cause: a fold that depends on where it
-    started, such as from a snapshot that landed late.
+    Lagging writers append claims, snapshots and resets in any order, and nodes start
+    after any number of records has expired.  The result of the fold must not depend on
+    where it started, for example at a snapshot that was appended late.
     """
     records = build_log(events)
     expected = naive_owners(records)
     for first_offset in range(len(records) + 1):
         kept = records[first_offset:]
-        fold = base_of(kept, first_offset)
+        fold = find_base(kept, first_offset)
         if fold is None:
             continue
         for record in kept:
@@ -97,19 +97,19 @@
 
 
 def test_late_snapshot_is_no_place_to_start_from():
-    """Symptom: a starting node takes a superseded process for the owner.
+    """Guards against a starting node that sees a superseded process as the owner.
 
-    Events: a snapshot of a at 0 lands after b's claim at 1; both claims expire.  Cause:
-    starting from any kept snapshot.
+    A snapshot with a's claim at offset 0 is appended after b's claim at offset 1, and
+    both claims expire.  Not every retained snapshot is a usable base.
     """
     late = encode_snapshot(Snapshot(0, {"g": Owner("a", "1", 0)}))
     record = LogRecord(2, 0, late)
-    assert base_of([record], 2) is None
-    assert base_of([LogRecord(1, 0, b"{}"), record], 1).applied_offset == 0
+    assert find_base([record], 2) is None
+    assert find_base([LogRecord(1, 0, b"{}"), record], 1).applied_offset == 0
 
 
 def test_unreadable_records_change_nothing():
-    """Records of another format or with wrong types are folded as if empty."""
+    """Records of another format or with wrong types change no owner."""
     fold = OwnershipFold()
     bodies = [
         b"",
