--- a/siskinthread/admission/__init__.py
+++ b/siskinthread/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Limits, early shedding and retry budgets.
+"""Admission of requests: account limits, load shedding and retry budgets.
 
 Interface: ``Admission(settings, view, membership, clock, metrics, target_load=None,
 shares=None)`` with ``admit(request)``, which returns an `End` (refused, not run; for a
@@ -7,9 +7,10 @@
 an `AdmissionSettings`.
 
 ``LentShares(settings, base, membership, own_host, clock)`` is a `ShareSource` that
-borrows by demand.  Its transport calls ``requests()`` at intervals and sends the
-`ShareRequest` messages, passes arriving ones to ``answer(request)`` and sends the
-`ShareGrant` back, and passes arriving grants to ``take(grant)``.
+borrows shares of limits where the demand is.  Its transport calls
+``requests_to_send()`` at intervals and sends the `ShareRequest` messages, passes
+received ones to ``handle_request(request)`` and sends the `ShareGrant` back, and passes
+received grants to ``handle_grant(grant)``.
 """
 
 from siskinthread.admission._admission import Admission, Admitted
--- a/siskinthread/admission/_admission.py
+++ b/siskinthread/admission/_admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests."""
+"""Admission of requests by account limits and load."""
 
 from siskinthread.admission._accounts import AccountBuckets
 from siskinthread.admission._shares import StaticShares
@@ -11,31 +11,36 @@
 
 
 class Admission:
-    """Admits requests within limits and load.
+    """Admit requests within the limits of their accounts and the load.
 
     Parameters
     ----------
     settings : AdmissionSettings
-        Thresholds.
+        Thresholds of load shedding.
     view : siskinthread.configuration.ConfigurationView
-        The limits in force.
+        Configuration with the limits in force.
     membership : siskinthread.membership.MembershipView
-        Number of entry hosts.
+        Number of entry hosts, used for the default of `shares`.
     clock : siskinthread.timing.Clock
-        Clock of the buckets.
+        Clock for the token buckets.
     metrics : siskinthread.observability.Metrics
-        Registry.
+        Registry for the count of decisions.
     target_load : callable or None
-        Maps the name of a service to the load of its targets, None if unknown; for
-        example `siskinthread.routing.Router.service_load`.
+        Takes the name of a service and returns the load of its targets, None if
+        unknown; for example `siskinthread.routing.Router.service_load`.
     shares : ShareSource or None
-        Part of the limits; equal parts by default.
+        This entry host's share of the limits; by default equal for all entry hosts.
+
+    Attributes
+    ----------
+    in_flight_count : int
+        Admitted requests that have not finished.
     """
 
     __slots__ = (
         "_buckets",
         "_clock",
-        "_decisions",
+        "_decision_counter",
         "_settings",
         "_shares",
         "_shedder",
@@ -59,38 +64,39 @@
         self._clock = clock
         self._target_load = target_load or _unknown_load
         self._shares = shares or StaticShares(membership)
-        self._shares.listen(self._follow_share)
+        self._shares.listen(self._update_buckets)
         self._shedder = LoadShedder(settings)
         self._buckets = {}
         self.in_flight_count = 0
-        self._decisions = metrics.counter(
+        self._decision_counter = metrics.counter(
             "admission_decisions", "Requests by decision.", ["decision"]
         )
 
     def admit(self, request):
-        """Admit a request or refuse it at once.
+        """Admit a request or refuse it immediately.
 
         Parameters
         ----------
         request : siskinthread.dispatch.CallerRequest
-            The request; no target has got it from this entry host yet.
+            The request, not yet sent to any target by this entry host.
 
         Returns
         -------
         Admitted or siskinthread.outcomes.End
-            ``REFUSED_NOT_RUN`` with reason ``limited`` or ``overloaded``; ``UNKNOWN``
-            with the same reasons for a request with an idempotency key.
+            An `End` has the outcome ``REFUSED_NOT_RUN`` with reason ``limited`` or
+            ``overloaded``; for a request with an idempotency key it has the outcome
+            ``UNKNOWN`` with the same reasons.
 
         Notes
         -----
-        A request with a key may be the retry of one that did run.  Calling its retry
-        "refused, not run" would invite the caller to issue it anew under another key,
-        and it would run twice; its outcome is unknown here.
+        A request with an idempotency key may be a retry of a request that did run.  If
+        the retry were refused as not run, the caller could send the request again under
+        another key, and it would run twice.  Therefore its outcome is unknown here.
         """
         load = self._target_load(request.service.name)
-        if self._shedder.sheds(request.priority, self.in_flight_count, load):
+        if self._shedder.should_shed(request.priority, self.in_flight_count, load):
             return self._refuse_overloaded(request)
-        buckets = self._account_buckets(request.account.name)
+        buckets = self._buckets_of(request.account.name)
         wait_s = 0.0 if buckets is None else buckets.wait_s(request.token_estimate)
         self._shares.note_demand(request.account.name, wait_s <= 0.0)
         if wait_s > 0.0:
@@ -98,18 +104,18 @@
         if buckets is not None:
             buckets.take(request.token_estimate)
         self.in_flight_count += 1
-        self._decisions.labels("admitted").inc()
+        self._decision_counter.labels("admitted").inc()
         return Admitted(self, buckets, request.token_estimate)
 
     def note_finished(self):
-        """Count an admitted request as ended; `Admitted.finish` calls this."""
+        """Count an admitted request as finished; called by `Admitted.finish`."""
         self.in_flight_count -= 1
 
-    def _follow_share(self, account_name):
+    def _update_buckets(self, account_name):
         if account_name in self._buckets:
-            self._account_buckets(account_name)
+            self._buckets_of(account_name)
 
-    def _account_buckets(self, account_name):
+    def _buckets_of(self, account_name):
         state = self._view.state
         limits = None if state is None else state.account_limits(account_name)
         if limits is None:
@@ -124,7 +130,7 @@
         return buckets
 
     def _refuse_overloaded(self, request):
-        self._decisions.labels("overloaded").inc()
+        self._decision_counter.labels("overloaded").inc()
         return End(
             _refusal_outcome(request),
             Reason.OVERLOADED,
@@ -133,7 +139,7 @@
         )
 
     def _refuse_limited(self, request, wait_s):
-        self._decisions.labels("limited").inc()
+        self._decision_counter.labels("limited").inc()
         return End(
             _refusal_outcome(request),
             Reason.LIMITED,
@@ -143,7 +149,17 @@
 
 
 class Admitted:
-    """A request that was admitted; `finish` must be called exactly once it ends."""
+    """An admitted request; `finish` must be called when the request ends.
+
+    Parameters
+    ----------
+    admission : Admission
+        Where the request counts as in flight.
+    buckets : AccountBuckets or None
+        Buckets that were charged; None without limits.
+    estimated_count : int
+        Tokens that were charged.
+    """
 
     __slots__ = ("_admission", "_buckets", "_estimated_count", "_finished")
 
@@ -154,12 +170,12 @@
         self._finished = False
 
     def finish(self, tokens):
-        """Note the end of the request; later calls change nothing.
+        """Record the end of the request; further calls have no effect.
 
         Parameters
         ----------
         tokens : int
-            Tokens that the answer really took.
+            Actual number of tokens.
         """
         if self._finished:
             return
--- a/siskinthread/admission/_bucket.py
+++ b/siskinthread/admission/_bucket.py
@@ -2,24 +2,24 @@
 
 
 class TokenBucket:
-    """A bucket that fills at a steady rate up to its burst.
+    """A token bucket that allows debt for costs above its burst.
 
     Parameters
     ----------
     clock : siskinthread.timing.Clock
-        Clock of the refill.
+        Clock for the refill.
     rate_per_s : float
         Units added each second.
     burst : float
-        Most units that the bucket holds; it starts full.
+        Capacity of the bucket, which starts full.
 
     Notes
     -----
     Within any time T at an unchanged rate, the units taken are at most ``rate_per_s *
     T + max(burst, largest cost)``: a cost above the burst is taken from a full bucket,
-    which then lies below zero and is in debt until the rate has paid that back.
-    Otherwise an entry host whose part of a small account's limit holds less than one
-    request would refuse that account for ever.
+    whose level becomes negative until the refill has made up for it.  Without such a
+    debt, an entry host whose share of a small account's limit is less than one request
+    would refuse that account for ever.
     """
 
     __slots__ = ("_burst", "_clock", "_filled_at_s", "_level", "_rate_per_s")
@@ -34,9 +34,9 @@
     def resize(self, rate_per_s, burst):
         """Change rate and burst.
 
-        The time since the last use is refilled at the lower of the two rates: when
-        within that time the rate changed is unknown, and the higher one would add units
-        that another entry host may have granted too.
+        The time since the last refill counts at the lower of the two rates.  It is
+        unknown when the rate changed within that time, and the higher rate could add
+        units that another entry host has admitted too.
         """
         if rate_per_s == self._rate_per_s and burst == self._burst:
             return
@@ -47,7 +47,7 @@
         self._level = min(self._level, burst)
 
     def wait_s(self, cost):
-        """Return the seconds until `cost` can be taken; 0.0 if it can be now."""
+        """Return the time until `cost` can be taken, seconds; 0.0 if it can be now."""
         self._refill()
         missing = min(cost, self._burst) - self._level
         if missing <= 0.0:
@@ -55,12 +55,12 @@
         return missing / self._rate_per_s if self._rate_per_s else float("inf")
 
     def take(self, cost):
-        """Take `cost` units; the caller has asked `wait_s`."""
+        """Take `cost` units, without checking the level; check `wait_s` before."""
         self._refill()
         self._level -= cost
 
-    def give_back(self, units):
-        """Return units that were taken and not used; negative ones are charged."""
+    def refund(self, units):
+        """Return unused units to the bucket; a negative number is charged."""
         self._refill()
         self._level = min(self._burst, self._level + units)
 
--- a/siskinthread/admission/_shedding.py
+++ b/siskinthread/admission/_shedding.py
@@ -1,20 +1,20 @@
-"""Early refusal under overload, least urgent first."""
+"""Load shedding by priority, least urgent requests first."""
 
 
 class LoadShedder:
-    """Decides which priorities are refused at a load.
+    """Decide by priority and load whether a request is refused.
 
     Parameters
     ----------
     settings : AdmissionSettings
-        Limits and the share of them from which the least urgent are refused.
+        Limits, and the fraction of them at which the least urgent requests are refused.
 
     Notes
     -----
-    Without it, a queue grows in front of the targets until deadlines pass, and alerts
-    wait in it behind drafts; one would notice full use and few whole answers.  The
-    threshold rises evenly from ``shed_start_fraction`` of a limit for the least urgent
-    to the whole limit for priority 0.
+    Without load shedding, queues grow at the targets until deadlines pass, and urgent
+    requests wait behind less urgent ones: the targets are fully used but complete few
+    requests in time.  The threshold increases linearly from ``shed_start_fraction`` of
+    a limit for the least urgent requests to the full limit for priority 0.
     """
 
     __slots__ = ("_settings",)
@@ -22,8 +22,8 @@
     def __init__(self, settings):
         self._settings = settings
 
-    def sheds(self, priority, in_flight_count, target_load):
-        """Return whether a request shall be refused.
+    def should_shed(self, priority, in_flight_count, target_load):
+        """Return whether a request must be refused.
 
         Parameters
         ----------
@@ -32,7 +32,8 @@
         in_flight_count : int
             Requests in flight at this entry host.
         target_load : float or None
-            Work of the service's targets over their capacity, None if unknown.
+            Load of the service's targets as a multiple of their capacity; None if
+            unknown.
         """
         settings = self._settings
         threshold = self._threshold_fraction(priority)
--- a/siskinthread/admission/tests/test_admission.py
+++ b/siskinthread/admission/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Limits over all entry hosts, early shedding and the retry budget."""
+"""Tests of limits over all entry hosts, load shedding and the retry budget."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class FakeState:
-    """A configuration with one set of limits."""
+    """A configuration with the same limits for all accounts."""
 
     def __init__(self, limits):
         self.limits = limits
@@ -27,14 +27,14 @@
 
 
 class FakeView:
-    """A view with a state."""
+    """A configuration view with a fixed state."""
 
     def __init__(self, limits):
         self.state = FakeState(limits)
 
 
 class FakeMembership:
-    """A membership with a number of entry hosts."""
+    """A membership with a given number of entry hosts."""
 
     def __init__(self, count):
         self.count = count
@@ -44,12 +44,12 @@
 
 
 def make_limits(requests_per_s=10.0, tokens_per_s=1e9, burst_s=2.0):
-    """Return limits for all accounts."""
+    """Return limits that apply to all accounts."""
     return Limits("all", {}, Selector(""), requests_per_s, tokens_per_s, burst_s)
 
 
 def make_admission(clock, limits, entry_count=1, target_load=None, **changes):
-    """Return the admission of one entry host."""
+    """Return the `Admission` of an entry host."""
     return Admission(
         AdmissionSettings(**changes),
         FakeView(limits),
@@ -61,7 +61,7 @@
 
 
 def make_request(clock, priority=2, token_estimate=0, idempotency_key=None):
-    """Return a request."""
+    """Return a caller's request."""
     return CallerRequest(
         "request",
         ACCOUNT,
@@ -78,7 +78,7 @@
     )
 
 
-steps = strategies.lists(
+request_steps = strategies.lists(
     strategies.tuples(
         strategies.integers(0, 2),
         strategies.floats(0.0, 0.5),
@@ -89,14 +89,16 @@
 )
 
 
-@given(steps, strategies.floats(0.5, 40.0), strategies.floats(10.0, 500.0))
+@given(request_steps, strategies.floats(0.5, 40.0), strategies.floats(10.0, 500.0))
 @settings(derandomize=True, deadline=None, max_examples=120)
-def test_sum_over_entries_stays_within_limits(steps, requests_per_s, tokens_per_s):
-    """Whatever the interleaving, granted <= rate * time + bursts, requests and tokens.
-
-    The burst of requests is at least one for each entry host, that of tokens at least
-    one estimate for each.  Tokens are compared after the correction of estimates, which
-    may add what was underestimated.
+def test_sum_over_entries_stays_within_limits(
+    request_steps, requests_per_s, tokens_per_s
+):
+    """Admitted requests and tokens stay within rate * time + bursts over all hosts.
+
+    The burst is at least one request and one estimate for each entry host.  Tokens are
+    compared after the correction of estimates, so that underestimated tokens add to the
+    bound.
     """
     clock = ManualClock()
     limits = make_limits(requests_per_s, tokens_per_s)
@@ -105,7 +107,7 @@
     request_count = 0
     token_count = 0
     underestimated_count = 0
-    for index, wait_s, estimate, true_count in steps:
+    for index, wait_s, estimate, true_count in request_steps:
         clock.advance(wait_s)
         request = make_request(clock, token_estimate=estimate)
         admitted = entries[index].admit(request)
@@ -125,11 +127,11 @@
 
 
 def test_risen_part_does_not_count_for_the_past():
-    """Symptom: an account gets more than its limit when entry hosts vanish.
+    """Guards against exceeding an account's limit when entry hosts vanish.
 
-    Events: a bucket lies idle while its part is small; the part rises.  Cause: the time
-    before the rise was refilled at the new rate, while the hosts that are gone had
-    granted their parts.
+    A bucket is idle while its share is small, then the share increases.  The time
+    before the increase must not be refilled at the new rate, since the vanished hosts
+    admitted requests on their shares in that time.
     """
     clock = ManualClock()
     admission = make_admission(clock, make_limits(requests_per_s=20.0), 400)
@@ -144,7 +146,7 @@
 
 
 def test_refusal_tells_when_the_bucket_has_refilled():
-    """A request that comes back at the stated time passes, and not before."""
+    """A retry is admitted after ``retry_after_s``, and not before."""
     clock = ManualClock()
     admission = make_admission(clock, make_limits(requests_per_s=4.0, burst_s=0.5))
     refusal = None
@@ -162,11 +164,10 @@
 
 
 def test_refusal_of_a_key_is_unknown():
-    """Symptom: two trains are halted for one fault.
+    """Guards against running a request twice that has an idempotency key.
 
-    Events: a keyed request runs, its answer is lost, the retry meets a used up limit
-    and is refused as not run; its caller issues it anew under another key.  Cause: a
-    refusal of the retry was given out as one of the request.
+    A request runs and its answer is lost; the retry exceeds the limit.  If the retry
+    were refused as not run, the caller would send the request again under another key.
     """
     clock = ManualClock()
     admission = make_admission(clock, make_limits(requests_per_s=1.0, burst_s=1.0))
@@ -176,11 +177,10 @@
 
 
 def test_small_account_can_always_make_one_request():
-    """Symptom: a small account is refused for ever at the plan's size.
+    """Guards against refusing a small account for ever.
 
-    Events: a limit of 2 requests a second is divided by 410 entry hosts, so that a part
-    never holds a whole request.  Cause: only what the bucket holds could be
-    taken, without a debt.
+    A limit of 2 requests per second is divided among 410 entry hosts, so that a bucket
+    never holds a whole request.  The bucket must allow debt.
     """
     clock = ManualClock()
     admission = make_admission(clock, make_limits(2.0), entry_count=410)
@@ -190,7 +190,7 @@
 
 
 def test_unused_tokens_are_given_back():
-    """An estimate that was too high does not use up the limit."""
+    """Overestimated tokens are returned to the limit."""
     clock = ManualClock()
     limits = make_limits(requests_per_s=1000.0, tokens_per_s=100.0, burst_s=1.0)
     admission = make_admission(clock, limits)
@@ -214,10 +214,10 @@
 
 
 def test_least_urgent_are_refused_first():
-    """Symptom: alerts wait behind drafts until their deadline.
+    """Guards against urgent requests that wait behind less urgent ones in overload.
 
-    Events: load rises beyond what targets take.  Cause: all priorities are admitted
-    alike.  The thresholds rise with the urgency; alerts go last.
+    The load exceeds the capacity of the targets.  The threshold of refusal must
+    increase with the urgency.
     """
     clock = ManualClock()
     load = [0.0]
@@ -236,7 +236,7 @@
 
 
 def test_in_flight_limit_holds_and_frees():
-    """At the in-flight limit all are refused, and a finished one makes room."""
+    """At the in-flight limit all requests are refused until one finishes."""
     clock = ManualClock()
     admission = make_admission(clock, None, in_flight_limit=10)
     admitted = [admission.admit(make_request(clock, priority=0)) for _ in range(10)]
@@ -249,11 +249,10 @@
 @given(strategies.integers(0, 2**32))
 @settings(derandomize=True, deadline=None, max_examples=40)
 def test_retries_stay_within_their_share(seed):
-    """Symptom: targets that fail under load get several times the load.
+    """Guards against retries that multiply the load of failing targets.
 
-    Events: every request fails and is retried.  Cause: retries without a budget.  A
-    retry is granted only while the recent ones, with it, are at most the share of the
-    recent requests plus the floor.
+    Every request fails and is retried.  Recent retries must stay within the share of
+    the recent requests plus the floor.
     """
     generator = random.Random(seed)
     clock = ManualClock()
@@ -274,7 +273,7 @@
 
 
 def test_retry_floor_serves_a_quiet_entry():
-    """Without any traffic a few retries are possible, and again after the window."""
+    """Without traffic, a few retries are allowed in each window."""
     clock = ManualClock()
     budget = RetryBudget(AdmissionSettings(), clock)
     assert [budget.try_spend() for _ in range(4)] == [True, True, True, False]
--- a/siskinthread/admission/tests/test_lending.py
+++ b/siskinthread/admission/tests/test_lending.py
@@ -1,4 +1,4 @@
-"""Borrowed parts of limits, under lost and late messages."""
+"""Tests of borrowed shares of limits, with lost and delayed messages."""
 
 import heapq
 import random
@@ -26,7 +26,7 @@
 
 
 class FakeEntries:
-    """A membership of entry hosts."""
+    """A membership with a given number of entry hosts."""
 
     def __init__(self, count):
         self._hosts = {f"entry-{index}": None for index in range(count)}
@@ -39,18 +39,20 @@
 
 
 class LendingBench:
-    """Entry hosts that borrow from each other over a network that loses and delays.
+    """Entry hosts that borrow shares over a network that loses and delays messages.
 
     Parameters
     ----------
     count : int
-        Entry hosts.
+        Number of entry hosts.
     generator : random.Random
-        Losses and delays.
+        Source of losses and delays.
     loss, delay_s : float
-        Share of the messages that is lost, and the longest delay of the others.
+        Fraction of lost messages, and the longest delay of the others, seconds.
     rate_per_s : float
-        Limit of the account's requests.
+        Limit of the account, requests per second.
+    **changes
+        Values of `ShareSettings`.
     """
 
     def __init__(
@@ -80,8 +82,8 @@
                 shares=shares,
             )
 
-    def ask(self, host):
-        """Let a request arrive at an entry host; return whether it was granted."""
+    def send_request(self, host):
+        """Send a request to an entry host; return whether it was admitted."""
         admitted = self.admissions[host].admit(make_request(self.clock))
         if isinstance(admitted, End):
             return False
@@ -89,10 +91,10 @@
         return True
 
     def advance(self, step_s):
-        """Move the clock, exchange messages that are due and send new ones."""
+        """Advance the clock, send new messages and deliver messages that are due."""
         self.clock.advance(step_s)
         for host in self.shares:
-            for request in self.shares[host].requests():
+            for request in self.shares[host].requests_to_send():
                 self._send(self._receive_request, request)
         now_s = self.clock.monotonic_s()
         while self._messages and self._messages[0][0] <= now_s:
@@ -107,37 +109,38 @@
         heapq.heappush(self._messages, (at_s, self._message_count, receive, message))
 
     def _receive_request(self, request):
-        grant = self.shares[request.lender].answer(request)
+        grant = self.shares[request.lender].handle_request(request)
         if grant is not None:
             self._send(self._receive_grant, grant)
 
     def _receive_grant(self, grant):
-        self.shares[grant.request.borrower].take(grant)
+        self.shares[grant.request.borrower].handle_grant(grant)
 
 
 def run_pinned(bench, hosts, duration_s):
-    """Offer three times the limit at some hosts; return the granted count."""
-    granted_count = 0
+    """Send three times the limit to some hosts; return the number admitted."""
+    admitted_count = 0
     for index in range(round(duration_s * RATE_PER_S * 3)):
-        granted_count += bench.ask(hosts[index % len(hosts)])
+        admitted_count += bench.send_request(hosts[index % len(hosts)])
         bench.advance(1.0 / (RATE_PER_S * 3))
-    return granted_count
+    return admitted_count
 
 
 def test_pinned_account_reaches_most_of_its_limit():
-    """Symptom: an account that comes to one host of eight gets an eighth of its limit.
+    """Guards against admitting only a fraction of the limit of a pinned account.
 
-    Events: keep-alive pins its connections to that host.  Cause: equal parts.
+    Keep-alive pins all connections of an account to one of eight entry hosts, where an
+    equal share is an eighth of the limit.
     """
     bench = LendingBench(8, random.Random(1))
     run_pinned(bench, ["entry-3"], 20.0)
-    granted_count = run_pinned(bench, ["entry-3"], 30.0)
-    assert granted_count >= 0.85 * RATE_PER_S * 30.0
-    assert granted_count <= RATE_PER_S * 30.0 + 1
+    admitted_count = run_pinned(bench, ["entry-3"], 30.0)
+    assert admitted_count >= 0.85 * RATE_PER_S * 30.0
+    assert admitted_count <= RATE_PER_S * 30.0 + 1
 
 
 def test_lender_keeps_a_remainder_and_gets_its_part_back():
-    """A lender serves a little meanwhile, and its whole part after the lease."""
+    """A lender keeps a remainder during the loan and its full share after the lease."""
     bench = LendingBench(2, random.Random(1), lease_s=20.0)
     run_pinned(bench, ["entry-0"], 5.0)
     assert bench.shares["entry-1"].fraction("inspectorate") == pytest.approx(0.05)
@@ -148,73 +151,74 @@
 
 
 def test_late_answer_is_not_used_beyond_the_lenders_promise():
-    """Symptom: an account exceeds its limit after a delay in the network.
+    """Guards against exceeding an account's limit after a delay in the network.
 
-    Events: an answer arrives when its lender has taken the part back.  Cause: the
-    borrower counted the lease from the arrival.
+    A grant arrives late, shortly before its lender takes the share back.  The borrower
+    must count the lease from its request, not from the arrival of the grant.
     """
     bench = LendingBench(2, random.Random(1), lease_s=20.0)
-    bench.shares["entry-0"].note_demand("inspectorate", granted=False)
-    (request,) = bench.shares["entry-0"].requests()
-    grant = bench.shares["entry-1"].answer(request)
+    bench.shares["entry-0"].note_demand("inspectorate", admitted=False)
+    (request,) = bench.shares["entry-0"].requests_to_send()
+    grant = bench.shares["entry-1"].handle_request(request)
     bench.clock.advance(19.0)
-    bench.shares["entry-0"].take(grant)
+    bench.shares["entry-0"].handle_grant(grant)
     bench.clock.advance(2.5)
     total = sum(shares.fraction("inspectorate") for shares in bench.shares.values())
     assert total == pytest.approx(1.0)
 
 
 def test_host_that_sees_the_account_lends_nothing():
-    """A part that is in use, or lent already, is not lent."""
+    """A share that is in use or already lent is not lent."""
     bench = LendingBench(3, random.Random(1))
     for host in ("entry-0", "entry-2"):
-        bench.shares[host].note_demand("inspectorate", granted=False)
+        bench.shares[host].note_demand("inspectorate", admitted=False)
     requests = {
-        request.lender: request for request in bench.shares["entry-0"].requests()
+        request.lender: request
+        for request in bench.shares["entry-0"].requests_to_send()
     }
-    assert bench.shares["entry-2"].answer(requests["entry-2"]) is None
-    assert bench.shares["entry-1"].answer(requests["entry-1"]) is not None
-    assert bench.shares["entry-1"].answer(requests["entry-1"]) is None
+    assert bench.shares["entry-2"].handle_request(requests["entry-2"]) is None
+    assert bench.shares["entry-1"].handle_request(requests["entry-1"]) is not None
+    assert bench.shares["entry-1"].handle_request(requests["entry-1"]) is None
 
 
 def test_lender_does_not_refill_for_the_time_of_the_loan():
-    """Symptom: an account exceeds its limit when a lender gets its part back.
+    """Guards against exceeding an account's limit when a loan ends.
 
-    Events: a lender's bucket is in debt, the part is lent, and nobody uses the bucket
-    until the part is back.  Cause: the bucket was refilled for the time of the loan, in
-    which the borrower had used the part.
+    The bucket of a lender is in debt, its share is lent, and no request uses the bucket
+    until the loan has ended.  The bucket must not be refilled for the time of the loan,
+    in which the borrower used the share.
     """
     bench = LendingBench(2, random.Random(1), rate_per_s=0.1, lease_s=20.0, idle_s=1.0)
-    assert bench.ask("entry-1")
+    assert bench.send_request("entry-1")
     bench.clock.advance(1.5)
-    bench.shares["entry-0"].note_demand("inspectorate", granted=False)
+    bench.shares["entry-0"].note_demand("inspectorate", admitted=False)
     bench.advance(0.0)
     assert bench.shares["entry-0"].fraction("inspectorate") > 0.9
     bench.clock.advance(21.5)
-    assert not bench.ask("entry-1")
+    assert not bench.send_request("entry-1")
 
 
 def test_borrower_does_not_refill_for_the_time_between_loans():
-    """Symptom: an account exceeds its limit when loans follow each other.
+    """Guards against exceeding an account's limit with successive loans.
 
-    Events: a loan ends, a while later another one begins, and the bucket is used before
-    and after only.  Cause: the time between was refilled as if the part had been there.
+    A loan ends, some time later another loan begins, and the bucket is used only before
+    and after that.  The time between must not be refilled as if the loan had continued.
     """
     bench = LendingBench(2, random.Random(1), rate_per_s=0.1, lease_s=20.0, idle_s=1.0)
-    assert bench.ask("entry-0")
-    assert not bench.ask("entry-0")
+    assert bench.send_request("entry-0")
+    assert not bench.send_request("entry-0")
     bench.advance(0.0)
-    assert not bench.ask("entry-0")
+    assert not bench.send_request("entry-0")
     bench.clock.advance(19.9)
-    assert bench.ask("entry-0")
+    assert bench.send_request("entry-0")
     bench.clock.advance(10.1)
-    bench.shares["entry-0"].note_demand("inspectorate", granted=False)
+    bench.shares["entry-0"].note_demand("inspectorate", admitted=False)
     bench.advance(0.0)
     assert bench.shares["entry-0"].fraction("inspectorate") > 0.9
     bench.clock.advance(2.0)
-    assert not bench.ask("entry-0")
+    assert not bench.send_request("entry-0")
     bench.clock.advance(5.0)
-    assert bench.ask("entry-0")
+    assert bench.send_request("entry-0")
 
 
 @given(
@@ -224,20 +228,23 @@
 )
 @settings(derandomize=True, deadline=None, max_examples=60)
 def test_sum_holds_under_lost_and_late_messages(seed, loss, delay_s):
-    """Whatever is lost, late and asked where, granted <= limit * time + bursts."""
+    """Under any losses and delays, admitted requests stay within limit * time + bursts.
+
+    The hosts that get requests change at random.
+    """
     generator = random.Random(seed)
     bench = LendingBench(4, generator, loss, delay_s, lease_s=6.0, idle_s=1.0)
     begin_s = bench.clock.monotonic_s()
-    granted_count = 0
+    admitted_count = 0
     hosts = ["entry-0"]
     for _ in range(500):
         if generator.random() < 0.02:
             hosts = generator.sample(sorted(bench.shares), generator.randint(1, 3))
         for host in hosts:
-            granted_count += bench.ask(host)
+            admitted_count += bench.send_request(host)
         bench.advance(generator.choice([0.01, 0.05, 0.1, 0.3]))
         passed_s = bench.clock.monotonic_s() - begin_s
-        # Each host's burst is a quarter of 12, above one request.
-        assert granted_count <= RATE_PER_S * passed_s + RATE_PER_S * 1.0 + 1e-6
+        # The burst of each host is a quarter of 12 requests, hence above one request.
+        assert admitted_count <= RATE_PER_S * passed_s + RATE_PER_S * 1.0 + 1e-6
     fractions = [shares.fraction("inspectorate") for shares in bench.shares.values()]
     assert sum(fractions) <= 1.0 + 1e-9
