--- a/siskinthread/experts/__init__.py
+++ b/siskinthread/experts/__init__.py
@@ -1,6 +1,6 @@
-"""Expert maps: model of the work, planner and change protocol."""
+"""Expert maps: load estimates, planner and the protocol of map changes."""
 
-from siskinthread.experts._controller import Controller, Hindrance
+from siskinthread.experts._controller import Controller, SkipReason
 from siskinthread.experts._estimates import Estimates
 from siskinthread.experts._expert_map import ExpertMap
 from siskinthread.experts._map_change import ChangeResult, MapChange
@@ -33,7 +33,7 @@
     "Done",
     "Estimates",
     "ExpertMap",
-    "Hindrance",
+    "SkipReason",
     "Hold",
     "MapChange",
     "Objective",
--- a/siskinthread/experts/_controller.py
+++ b/siskinthread/experts/_controller.py
@@ -1,4 +1,4 @@
-"""The controller of one group: watches the ranks, plans, changes the map."""
+"""Controller of a group, which observes the ranks, plans and changes the map."""
 
 import enum
 
@@ -12,14 +12,14 @@
 from siskinthread.observability import part_logger
 
 MILLISECONDS_PER_MINUTE = 60_000
-CLAIM_BITS = 20
-"""Versions that one claim can number."""
+CLAIM_VERSION_BITS = 20
+"""Bits of a map version that number the changes under one claim."""
 
 _logger = part_logger("experts")
 
 
-class Hindrance(enum.StrEnum):
-    """Why a round ended before it had a plan."""
+class SkipReason(enum.StrEnum):
+    """Why a round ended without a plan."""
 
     MAPS_DIFFER = "maps_differ"
     RANK_SILENT = "rank_silent"
@@ -28,45 +28,45 @@
 
 
 class Controller:
-    """Rebalances one group while this process owns it.
+    """Rebalance a group while this process owns it.
 
     Parameters
     ----------
     group : str
         Name of the group.
     ranks : RemoteRanks
-        The group's ranks.
+        Ranks of the group.
     settings : PlannerSettings
-        The planner's settings.
+        Settings of the planner and the estimates.
     interval_s : float
-        Time between plans.
+        Time between two rounds.
     claim : callable
-        ``async claim()`` returns the fencing number under which this process owns the
-        group, read anew, or None.
+        ``async claim()`` reads the claims and returns the fencing number under which
+        this process owns the group, or None.
     objective : callable
         Returns the group's `Objective` in force.
     record : callable
         Called with (fencing, old version, new version, `ChangeResult`) after each
         change, for the audit trail.
     clock : Clock
-        The process's clock.
+        Clock for the quiet windows and the time of the last change.
 
     Attributes
     ----------
     changed_at_ms : int or None
-        Wall clock of the end of the last change.
+        When the last change ended, milliseconds since the Unix epoch.
     expert_map : ExpertMap or None
-        The map that the ranks had at the last look.
-    hindrance : Hindrance or None
+        Map of the ranks at the last observation or change.
+    skip_reason : SkipReason or None
         Why the last round had no plan; None if it had one.
     last_plan : Plan or None
-        The last plan under the present claim, for the operators' view.
+        The last plan under the present claim, shown to operators.
     pending_moves : int
-        Experts to load of a planned change that is not finished.
+        Expert loads of a planned change that is not finished.
     result : ChangeResult or None
-        Result of the last change, or of the recovery of one that was unfinished.
+        Result of the last change, or of the recovery of an unfinished change.
     skew : float or None
-        Step-time skew of the last interval.
+        Step-time skew of the last interval: slowest over mean rank.
     """
 
     __slots__ = (
@@ -77,11 +77,11 @@
         "_group",
         "_interval_s",
         "_objective",
-        "_orders",
+        "_map_change",
         "_planner",
         "_ranks",
         "_record",
-        "_recovered",
+        "_is_recovered",
         "_settings",
         "changed_at_ms",
         "expert_map",
@@ -106,8 +106,8 @@
         self._planner = Planner(settings, objective())
         self._estimates = None
         self._fencing = None
-        self._orders = None
-        self._recovered = False
+        self._map_change = None
+        self._is_recovered = False
         self.changed_at_ms = None
         self.expert_map = None
         self.hindrance = None
@@ -117,19 +117,19 @@
         self.skew = None
 
     async def run(self):
-        """Plan at each interval; runs until cancelled."""
+        """Run a round at each interval until cancelled."""
         while True:
             await self.run_once()
             await curio.sleep(self._interval_s)
 
     async def run_once(self):
-        """Make one round: recover if need be, then observe, plan and change.
+        """Run one round: recover if necessary, then observe, plan and change.
 
         Returns
         -------
         ChangeResult or None
-            Result of a change or recovery; None if this process is not the owner or
-            nothing had to be changed.
+            Result of a change or recovery; None if this process is not the owner, the
+            round was skipped or no change was planned.
         """
         fencing = await self._claim()
         if fencing is None or not self._ranks.names():
@@ -137,30 +137,30 @@
             return None
         if fencing != self._fencing:
             self._fencing = fencing
-            # One object a claim: its orders are numbered on from one change to the
-            # next, else the gates would refuse them as old.
-            self._orders = MapChange(self._ranks, fencing)
-            self._recovered = False
+            # One object for each claim continues the sequence of order numbers over
+            # several changes; the gates would refuse numbers that start again.
+            self._map_change = MapChange(self._ranks, fencing)
+            self._is_recovered = False
             self.last_plan = None
             self.pending_moves = 0
         reports = await self._ranks.reports()
-        if not self._complete(reports):
-            self.hindrance = Hindrance.RANKS_MISSING
+        if not self._is_complete(reports):
+            self.hindrance = SkipReason.RANKS_MISSING
             return None
-        if not self._recovered:
+        if not self._is_recovered:
             result = await self._recover(reports)
             if result is not ChangeResult.CHANGED:
-                self.hindrance = Hindrance.RECOVERY_UNFINISHED
+                self.hindrance = SkipReason.RECOVERY_UNFINISHED
                 return result
-            self._recovered = True
+            self._is_recovered = True
         return await self._rebalance(reports)
 
-    def _complete(self, reports):
-        """Return whether the ranks that are known are all that the maps have.
+    def _is_complete(self, reports):
+        """Return whether the known ranks are all ranks of the maps.
 
-        A published selector may for a while match fewer hosts than the group has
-        ranks.  Ranks that are left out of a change would keep the old map and step
-        with those that have the new one.
+        A published selector may temporarily match fewer hosts than the group has ranks.
+        Ranks that are missing from a change would keep the old map and step together
+        with ranks that have the new one.
         """
         counts = {
             report.expert_map.rank_count
@@ -170,7 +170,7 @@
         if counts <= {len(reports)}:
             return True
         _logger.warning(
-            "Group %s is left alone: %d ranks are known, its maps have %s.",
+            "Skipping group %s: %d ranks are known, its maps have %s.",
             self._group,
             len(reports),
             sorted(counts),
@@ -183,22 +183,22 @@
             for report in reports.values()
             if report is not None
         }
-        result = await self._orders.recover(maps.get)
+        result = await self._map_change.recover(maps.get)
         if self.result is ChangeResult.UNFINISHED:
-            self._note(result)
+            self._record_result(result)
         _logger.info("Recovery of group %s: %s.", self._group, result)
         return result
 
     async def _rebalance(self, reports):
         known = [reports[name] for name in self._ranks.names()]
         if any(report is None for report in known):
-            _logger.info("Group %s is not planned: a rank is silent.", self._group)
-            self.hindrance = Hindrance.RANK_SILENT
+            _logger.info("Skipping group %s: a rank sent no report.", self._group)
+            self.hindrance = SkipReason.RANK_SILENT
             return None
         versions = {report.expert_map.version for report in known}
         if len(versions) != 1:
-            self._recovered = False
-            self.hindrance = Hindrance.MAPS_DIFFER
+            self._is_recovered = False
+            self.hindrance = SkipReason.MAPS_DIFFER
             return None
         expert_map = known[0].expert_map
         self.expert_map = expert_map
@@ -234,20 +234,25 @@
             await curio.sleep(0)
 
     async def _change(self, old_map, new_map):
-        # Two controllers in a row may plan from the same version; numbered by their
-        # claims, their maps never share a version.
-        version = max(old_map.version + 1, self._fencing << CLAIM_BITS)
+        # Successive controllers may plan from the same version.  The fencing number in
+        # the upper bits keeps the versions of their maps distinct.
+        version = max(old_map.version + 1, self._fencing << CLAIM_VERSION_BITS)
         new_map = ExpertMap(new_map.slots, new_map.expert_count, version)
-        result = await self._orders.change(old_map.version, version, new_map)
-        self._recovered = result is not ChangeResult.UNFINISHED
-        self._note(result)
+        result = await self._map_change.change(old_map.version, version, new_map)
+        self._is_recovered = result is not ChangeResult.UNFINISHED
+        self._record_result(result)
         if result is ChangeResult.CHANGED:
             self.expert_map = new_map
         self._record(self._fencing, old_map.version, version, result)
-        _logger.info("Map of group %s to version %d: %s.", self._group, version, result)
+        _logger.info(
+            "Change of the map of group %s to version %d: %s.",
+            self._group,
+            version,
+            result,
+        )
         return result
 
-    def _note(self, result):
+    def _record_result(self, result):
         self.result = result
         self.changed_at_ms = self._clock.unix_ms()
         if result is not ChangeResult.UNFINISHED:
--- a/siskinthread/experts/_estimates.py
+++ b/siskinthread/experts/_estimates.py
@@ -1,24 +1,29 @@
-"""Smoothed expert loads and rank speeds from lagging statistics."""
+"""Smoothed estimates of expert loads and rank slowness from delayed statistics."""
 
 import numpy as np
 
-LEAST_LOAD = 1e-9
+MIN_LOAD = 1e-9
 
 
 class Estimates:
-    """What is believed about the experts and ranks of a group.
+    """Estimates of the expert loads and the slowness of the ranks of a group.
 
-    A rank's slowness is judged at equal load: its time divided by the tokens it had,
-    against the median rank.  Without that, a rank that holds a popular expert would be
-    taken for slow and lose experts that it serves well, while a slow rank would be
-    given fewer popular experts, which leaves it slow.
+    The slowness of a rank is its step time per token, relative to the median rank.  If
+    it were not normalized by load, a rank with a popular expert would count as slow and
+    lose experts that it serves well, while a slow rank would get fewer popular experts,
+    which leaves it slow.
 
     Parameters
     ----------
     expert_count, rank_count : int
         Size of the layer.
     settings : PlannerSettings
-        Smoothing and the ratio above which a rank counts as slow.
+        ``smoothing``, and ``slow_rank_ratio``, above which a rank counts as slow.
+
+    Attributes
+    ----------
+    expert_loads : numpy.ndarray
+        Shape (experts,); smoothed tokens of each expert in an interval.
     """
 
     __slots__ = ("_settings", "_slowness", "expert_loads")
@@ -29,35 +34,35 @@
         self.expert_loads = np.ones(expert_count)
 
     def observe(self, expert_map, expert_tokens, rank_times):
-        """Take in the statistics of one interval.
+        """Update the estimates with the statistics of one interval.
 
         Parameters
         ----------
         expert_map : ExpertMap
-            The map that was in force.
+            The map in force during the interval.
         expert_tokens : numpy.ndarray
-            Tokens of each expert; NaN where the report is missing.
+            Shape (experts,); tokens of each expert, NaN if the report is missing.
         rank_times : numpy.ndarray
-            Step time of each rank; NaN where missing, any unit.
+            Shape (ranks,); step time of each rank in any unit, NaN if missing.
         """
-        known = ~np.isnan(expert_tokens)
+        is_known = ~np.isnan(expert_tokens)
         weight = self._settings.smoothing
-        self.expert_loads[known] += weight * (
-            np.maximum(expert_tokens[known], LEAST_LOAD) - self.expert_loads[known]
+        self.expert_loads[is_known] += weight * (
+            np.maximum(expert_tokens[is_known], MIN_LOAD) - self.expert_loads[is_known]
         )
         loads = expert_map.rank_loads(self.expert_loads)
-        self._observe_ranks(rank_times / np.maximum(loads, LEAST_LOAD))
+        self._observe_ranks(rank_times / np.maximum(loads, MIN_LOAD))
 
     def _observe_ranks(self, time_per_token):
-        known = ~np.isnan(time_per_token)
-        if not known.any():
+        is_known = ~np.isnan(time_per_token)
+        if not is_known.any():
             return
-        ratio = time_per_token[known] / np.median(time_per_token[known])
+        ratio = time_per_token[is_known] / np.median(time_per_token[is_known])
         weight = self._settings.smoothing
-        self._slowness[known] += weight * (ratio - self._slowness[known])
+        self._slowness[is_known] += weight * (ratio - self._slowness[is_known])
 
     @property
     def slowness(self):
-        """Relative time of each rank for a token; 1 for all that are not slow."""
+        """Relative time of each rank per token; 1 for ranks that are not slow."""
         slow = self._slowness > self._settings.slow_rank_ratio
         return np.where(slow, self._slowness, 1.0)
--- a/siskinthread/experts/_expert_map.py
+++ b/siskinthread/experts/_expert_map.py
@@ -1,4 +1,4 @@
-"""Which expert sits in which slot of which rank."""
+"""Assignment of experts to the slots of the ranks."""
 
 import numpy as np
 
@@ -6,21 +6,27 @@
 
 
 class ExpertMap:
-    """An expert map of one layer; not changed once built.
+    """An immutable expert map of one layer.
 
     Parameters
     ----------
     slots : numpy.ndarray
-        Shape (ranks, slots a rank); the expert in each slot.
+        Shape (ranks, slots per rank); the expert in each slot.
     expert_count : int
         Number of experts; each must have a slot.
     version : int
-        Rises by one with each change that is put in force.
+        Version of the map, which increases with each change.
+
+    Attributes
+    ----------
+    replica_counts : numpy.ndarray
+        Shape (experts,); number of slots of each expert.
 
     Raises
     ------
     InvariantError
-        If an expert has no slot: tokens routed to it would have nowhere to go.
+        If an expert has no slot, since tokens routed to it could not be processed, or
+        if a slot holds an unknown expert.
     """
 
     __slots__ = ("expert_count", "replica_counts", "slots", "version")
@@ -36,7 +42,7 @@
 
     @classmethod
     def in_turn(cls, rank_count, slots_per_rank, expert_count):
-        """Return the map that deals the experts out in turn."""
+        """Return the map that assigns the experts to the slots round robin."""
         slots = np.arange(rank_count * slots_per_rank) % expert_count
         return cls(slots.reshape(rank_count, slots_per_rank), expert_count)
 
@@ -46,35 +52,35 @@
         return self.slots.shape[0]
 
     def rank_loads(self, expert_loads):
-        """Return the load of each rank when replicas share their expert evenly.
+        """Return the load of each rank if replicas share an expert's load evenly.
 
         Parameters
         ----------
         expert_loads : numpy.ndarray
-            Tokens of each expert in an interval.
+            Shape (experts,); tokens of each expert in an interval.
 
         Returns
         -------
         numpy.ndarray
-            Tokens of each rank.
+            Shape (ranks,); tokens of each rank.
         """
         return (expert_loads / self.replica_counts)[self.slots].sum(axis=1)
 
     def skew(self, expert_loads, slowness=1.0):
-        """Return the step-time skew: slowest rank over mean rank.
+        """Return the step-time skew: slowest over mean rank.
 
         Parameters
         ----------
         expert_loads : numpy.ndarray
-            Tokens of each expert.
+            Shape (experts,); tokens of each expert.
         slowness : numpy.ndarray or float
-            Time of each rank for one token, relative to the usual.
+            Relative time of each rank per token.
         """
         times = self.rank_loads(expert_loads) * slowness
         return float(times.max() / times.mean())
 
     def moves_to(self, other):
-        """Return how many experts must be loaded on ranks to reach another map."""
+        """Return the number of expert loads on ranks to reach another map."""
         moves = 0
         for own_rank, other_rank in zip(self.slots, other.slots, strict=True):
             moves += len(set(other_rank.tolist()) - set(own_rank.tolist()))
--- a/siskinthread/experts/_map_change.py
+++ b/siskinthread/experts/_map_change.py
@@ -1,8 +1,8 @@
-"""The controller's side of a map change, written straight down.
+"""The controller's side of the protocol of a map change.
 
-Stage on every rank, hold every rank, switch every rank, release every rank.  Each phase
-begins only when every rank has confirmed the one before, so that no rank goes on while
-another may still change its map.
+The phases are stage, hold, switch and release.  Each phase starts only after every rank
+has confirmed the previous one, so that no rank steps while another rank may still
+change its map.
 """
 
 import enum
@@ -21,7 +21,7 @@
 
 
 class ChangeResult(enum.StrEnum):
-    """What became of a change or a recovery."""
+    """Outcome of a change or a recovery."""
 
     CHANGED = "changed"
     UNCHANGED = "unchanged"
@@ -30,18 +30,18 @@
 
 
 class MapChange:
-    """Changes the map of one group under one claim.
+    """Change the map of a group under one claim.
 
     Parameters
     ----------
     ranks : object
-        ``async broadcast(orders)`` takes a dict of rank to `Order`, sends them all and
-        returns a dict of rank to `Done`, `Refused` or None (no answer in time).
+        ``async broadcast(orders)`` takes a dict of rank to `Order`, sends all orders
+        and returns a dict of rank to `Done`, `Refused` or None (no answer in time).
         ``names()`` returns the ranks.
     fencing : int
-        Offset of the claim.
+        Fencing number: the offset of the claim.
     round_limit : int
-        Rounds of switching or releasing before the change is left to `recover`.
+        Attempts to switch, and to release, before the change is left to `recover`.
     """
 
     __slots__ = ("_fencing", "_ranks", "_round_limit", "_sequence")
@@ -53,74 +53,78 @@
         self._sequence = 0
 
     async def change(self, old_version, version, expert_map):
-        """Bring every rank from one map to another.
+        """Change the map of every rank.
 
         Parameters
         ----------
         old_version, version : int
-            Version in force and version to reach.
+            Version in force and new version.
         expert_map : ExpertMap
             Map of the new version.
 
         Returns
         -------
         ChangeResult
-            ``UNFINISHED`` leaves ranks held that may have switched; call `recover`.
+            After ``UNFINISHED``, ranks that may have switched stay held; call
+            `recover`.
         """
         names = self._ranks.names()
-        if not await self._all(names, Stage, version, expert_map):
+        if not await self._broadcast_confirmed(names, Stage, version, expert_map):
             return ChangeResult.UNCHANGED
-        if not await self._all(names, Hold, version):
+        if not await self._broadcast_confirmed(names, Hold, version):
             # No switch was sent under this claim, so no rank can have switched.
-            await self._all(names, Release, old_version)
+            await self._broadcast_confirmed(names, Release, old_version)
             return ChangeResult.UNCHANGED
         return await self._switch_and_release(names, version)
 
-    async def recover(self, map_of):
-        """Finish or undo whatever an earlier controller, or this one, left.
+    async def recover(self, map_by_version):
+        """Finish or undo an unfinished change of this or an earlier controller.
 
-        Every rank first refuses all earlier orders.  If any rank has switched, the
-        rest follow; if none has, all are released.
+        First, every rank promises to refuse all earlier orders.  If any rank has
+        switched, the others are switched too; if none has, all ranks are released.
 
         Parameters
         ----------
-        map_of : callable
-            Returns the `ExpertMap` of a version, for ranks that lost it.
+        map_by_version : callable
+            Takes a version and returns its `ExpertMap`, for ranks that do not have it.
 
         Returns
         -------
         ChangeResult
-            ``UNFINISHED`` when a rank does not answer.
+            ``UNFINISHED`` if a rank does not confirm an order.
         """
         names = self._ranks.names()
-        states = await self._states(names)
+        states = await self._request_states(names)
         if len(states) < len(names):
             return ChangeResult.UNFINISHED
         versions = {state.version for state in states.values()}
         version = max(known for known in versions if known is not None)
         if versions == {version}:
-            released = await self._all(names, Release, version)
+            released = await self._broadcast_confirmed(names, Release, version)
             return ChangeResult.CHANGED if released else ChangeResult.UNFINISHED
-        behind = [name for name in names if states[name].version != version]
-        if not await self._all(behind, Stage, version, map_of(version)):
+        outdated = [name for name in names if states[name].version != version]
+        if not await self._broadcast_confirmed(
+            outdated, Stage, version, map_by_version(version)
+        ):
             return ChangeResult.UNFINISHED
-        if not await self._all(names, Hold, version):
+        if not await self._broadcast_confirmed(names, Hold, version):
             return ChangeResult.UNFINISHED
-        return await self._switch_and_release(names, version, behind)
+        return await self._switch_and_release(names, version, outdated)
 
-    async def _switch_and_release(self, names, version, behind=None):
-        waiting = list(names if behind is None else behind)
+    async def _switch_and_release(self, names, version, outdated=None):
+        unconfirmed = list(names if outdated is None else outdated)
         for _ in range(self._round_limit):
-            waiting = await self._switch(waiting, version)
-            if not waiting:
+            unconfirmed = await self._switch(unconfirmed, version)
+            if not unconfirmed:
                 break
-            # A rank whose hold lapsed went on with the old map.  The others stay held,
-            # so the group does not step; it is held again and switched.
-            await self._all(waiting, Hold, version)
-        if waiting:
+            # A rank whose hold expired was released with the old map.  The other ranks
+            # stay held, so the group does not step.  The rank is held and switched
+            # again.
+            await self._broadcast_confirmed(unconfirmed, Hold, version)
+        if unconfirmed:
             return ChangeResult.UNFINISHED
         for _ in range(self._round_limit):
-            if await self._all(names, Release, version):
+            if await self._broadcast_confirmed(names, Release, version):
                 return ChangeResult.CHANGED
         return ChangeResult.UNFINISHED
 
@@ -133,7 +137,7 @@
             if not isinstance(reply, Done) or reply.state.version != version
         ]
 
-    async def _states(self, names):
+    async def _request_states(self, names):
         replies = await self._broadcast(names, Promise)
         return {
             name: reply.state
@@ -141,8 +145,8 @@
             if isinstance(reply, Done)
         }
 
-    async def _all(self, names, order_class, *arguments):
-        """Send one kind of order; return whether every rank confirmed it."""
+    async def _broadcast_confirmed(self, names, order_class, *arguments):
+        """Send an order to the ranks; return whether every rank confirmed it."""
         replies = await self._broadcast(names, order_class, *arguments)
         return all(isinstance(reply, Done) for reply in replies.values())
 
--- a/siskinthread/experts/_order_frames.py
+++ b/siskinthread/experts/_order_frames.py
@@ -1,4 +1,4 @@
-"""Orders and replies as frames, and back."""
+"""Encoding of orders, replies and reports as messages."""
 
 import math
 
@@ -54,7 +54,7 @@
     Raises
     ------
     ProtocolError
-        If the message is no map.
+        If the message is not a valid map.
     """
     try:
         slots = np.array(message.experts).reshape(-1, message.slots_per_rank)
@@ -83,11 +83,11 @@
     Raises
     ------
     ProtocolError
-        If the kind is unknown or a part is missing.
+        If the kind is unknown, a number is missing or the map is invalid.
     """
     order_class = _CLASSES.get(message.kind)
     if order_class is None or None in (message.fencing, message.sequence):
-        raise ProtocolError("an order of an unknown kind or without number")
+        raise ProtocolError("order of unknown kind or without number")
     number = OrderNumber(message.fencing, message.sequence)
     if order_class is Stage:
         expert_map = decode_map(message.expert_slots, message.version)
@@ -96,7 +96,7 @@
 
 
 def encode_reply(reply, question):
-    """Return the `RankReply` message of what a gate said."""
+    """Return the `RankReply` message of a gate's reply; None means no answer."""
     if reply is None:
         return RankReply(question=question, result=NO_ANSWER)
     if isinstance(reply, Refused):
@@ -142,7 +142,7 @@
 
 
 def decode_report(message):
-    """Return the `RankReport` of a message, or None."""
+    """Return the `RankReport` of a message, or None if it is unknown."""
     if not message.expert_tokens or message.expert_slots is None:
         return None
     tokens = np.array(message.expert_tokens, dtype=float)
--- a/siskinthread/experts/_orders.py
+++ b/siskinthread/experts/_orders.py
@@ -1,8 +1,8 @@
 """Messages between a group's controller and the gates of its ranks.
 
 Every order carries an `OrderNumber`.  A gate refuses an order whose number is below the
-highest that it has seen, so that late and repeated orders, and those of a superseded
-controller, change nothing.
+highest number that it has received, so that delayed and repeated orders, and orders of
+a superseded controller, have no effect.
 """
 
 import functools
@@ -10,15 +10,15 @@
 
 @functools.total_ordering
 class OrderNumber:
-    """Fencing number of a controller, and the count of its orders.
+    """Fencing number of a controller and sequence number of its order.
 
     Parameters
     ----------
     fencing : int
         Offset of the controller's claim in the log.
     sequence : int
-        Rises by two with each broadcast of that controller; the number between is the
-        gate's own, for the release of a hold that lapsed.
+        Increases by two with each broadcast of the controller.  The number between is
+        reserved for the gate, which uses it to release an expired hold.
     """
 
     __slots__ = ("fencing", "sequence")
@@ -27,35 +27,35 @@
         self.fencing = fencing
         self.sequence = sequence
 
-    def following(self):
+    def successor(self):
         """Return the next number."""
         return OrderNumber(self.fencing, self.sequence + 1)
 
     def __eq__(self, other):
-        return self._pair() == other._pair()
+        return self._key() == other._key()
 
     def __lt__(self, other):
-        return self._pair() < other._pair()
+        return self._key() < other._key()
 
     def __hash__(self):
-        return hash(self._pair())
+        return hash(self._key())
 
     def __repr__(self):
         return f"OrderNumber({self.fencing}, {self.sequence})"
 
-    def _pair(self):
+    def _key(self):
         return self.fencing, self.sequence
 
 
 class Order:
-    """Base of the orders.
+    """Base class of the orders.
 
     Parameters
     ----------
     number : OrderNumber
-        Place among all orders to the group.
+        Number of the order among all orders to the group.
     version : int or None
-        Map version that the order is about.
+        Version of the map to which the order applies.
     """
 
     __slots__ = ("number", "version")
@@ -69,13 +69,13 @@
 
 
 class Promise(Order):
-    """Refuse every lower number from now on, and say the rank's state."""
+    """Promise to refuse all lower numbers from now on, and reply the rank's state."""
 
     __slots__ = ()
 
 
 class Stage(Order):
-    """Load the weights of a map beside the one in force."""
+    """Load the weights of a map in addition to those of the map in force."""
 
     __slots__ = ("expert_map",)
 
@@ -91,28 +91,28 @@
 
 
 class Switch(Order):
-    """Put the staged map in force; only while held."""
+    """Put the staged map in force; refused unless the rank is held."""
 
     __slots__ = ()
 
 
 class Release(Order):
-    """Go on stepping, with the map of `version` in force."""
+    """Continue stepping; refused unless the map of `version` is in force."""
 
     __slots__ = ()
 
 
 class RankState:
-    """What a rank's engine says of itself.
+    """State of a rank as reported by its engine.
 
     Parameters
     ----------
     version : int or None
-        Map in force; None on a rank that has just been started.
+        Version of the map in force; None on a rank that was just started.
     staged_version : int or None
-        Map loaded beside it.
+        Version of the staged map.
     held : bool
-        Whether the rank waits at a step boundary.
+        Whether the rank is held at a step boundary.
     """
 
     __slots__ = ("held", "staged_version", "version")
@@ -124,12 +124,12 @@
 
 
 class Done:
-    """Reply: the order took effect.
+    """Reply that the order took effect.
 
     Parameters
     ----------
     state : RankState
-        The rank after the order.
+        State of the rank after the order.
     """
 
     __slots__ = ("state",)
@@ -139,12 +139,12 @@
 
 
 class Refused:
-    """Reply: the order took no effect and won't.
+    """Reply that the order had no effect and will have none.
 
     Parameters
     ----------
     highest : OrderNumber
-        Highest number that the gate has seen.
+        Highest number that the gate has received.
     """
 
     __slots__ = ("highest",)
--- a/siskinthread/experts/_planner.py
+++ b/siskinthread/experts/_planner.py
@@ -1,4 +1,4 @@
-"""Decides whether, and how far, an expert map is changed."""
+"""Planner of changes of an expert map."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """Why a plan was made or held back."""
+    """Why a change was planned or not."""
 
     MOVE = "move"
     BALANCED = "balanced"
@@ -19,14 +19,15 @@
 
 
 class Objective:
-    """The published weights of a group.
+    """Published planning objective of a group.
 
     Parameters
     ----------
     skew_weight, cost_weight : float
-        Weight of skew saved, and of expert moves.
+        Weights of the saved skew and of the cost of expert moves.
     quiet_windows : list of tuple of int
-        Minutes of the UTC day, from and to; a window may pass midnight.
+        Start (inclusive) and end (exclusive) of windows without changes, minutes of the
+        UTC day; a window may span midnight.
     """
 
     __slots__ = ("cost_weight", "quiet_windows", "skew_weight")
@@ -51,13 +52,13 @@
     Parameters
     ----------
     verdict : Verdict
-        Why.
+        Why a change was planned or not.
     expert_map : ExpertMap
-        The map to go to; the present one unless the verdict is ``MOVE``.
+        The planned map; the present map unless the verdict is ``MOVE``.
     moves : int
-        Experts to load.
+        Number of expert loads on ranks.
     skew_before, skew_after : float
-        Predicted step-time skew.
+        Predicted step-time skew of the present and the planned map.
     """
 
     __slots__ = ("expert_map", "moves", "skew_after", "skew_before", "verdict")
@@ -71,14 +72,14 @@
 
 
 class Planner:
-    """Plans incremental changes of the expert map of one group.
+    """Plan incremental changes of the expert map of a group.
 
     Parameters
     ----------
     settings : PlannerSettings
-        Costs, hysteresis and budgets.
+        Costs, hysteresis and budget of moves.
     objective : Objective
-        Published weights.
+        Published weights and quiet windows.
     """
 
     __slots__ = ("_budget", "_objective", "_settings")
@@ -89,20 +90,20 @@
         self._budget = settings.moves_burst
 
     def set_objective(self, objective):
-        """Go by newly published weights and quiet windows."""
+        """Replace the published weights and quiet windows."""
         self._objective = objective
 
     def plan(self, expert_map, estimates, minute):
-        """Return the plan for one interval, whole.
+        """Return the plan for one interval.
 
         Parameters
         ----------
         expert_map : ExpertMap
             The map in force.
         estimates : Estimates
-            Loads and rank speeds.
+            Estimated expert loads and slowness of the ranks.
         minute : int
-            Minute of the UTC day.
+            Minute of the UTC day, or since any UTC midnight.
 
         Returns
         -------
@@ -118,8 +119,8 @@
     def plan_in_slices(self, expert_map, estimates, minute):
         """Yield after each step of the search and return the `Plan`.
 
-        A caller on an event loop lets other tasks run at each yield; planning in one
-        go would hold up heartbeats for the whole plan.
+        A caller on an event loop lets other tasks run at each yield; otherwise planning
+        would delay heartbeats until the plan is complete.
         """
         settings = self._settings
         self._budget = min(
@@ -131,14 +132,14 @@
             return Plan(Verdict.QUIET_WINDOW, expert_map, 0, before, before)
         if self._budget < 1:
             return Plan(Verdict.NO_BUDGET, expert_map, 0, before, before)
-        steps = yield from self._search(expert_map, loads, slowness)
+        steps = yield from self._search_steps(expert_map, loads, slowness)
         if not steps:
             return Plan(Verdict.BALANCED, expert_map, 0, before, before)
-        return self._best(expert_map, estimates, steps, before)
+        return self._best_plan(expert_map, estimates, steps, before)
 
-    def _search(self, expert_map, loads, slowness):
+    def _search_steps(self, expert_map, loads, slowness):
         mean_time = float((expert_map.rank_loads(loads) * slowness).mean())
-        penalty = (SWAP_MOVES - 1) * self._move_price() * mean_time
+        penalty = (SWAP_MOVES - 1) * self._min_gain_per_move() * mean_time
         search = Search(expert_map, loads, slowness, penalty)
         steps = []
         for _ in range(self._settings.step_limit):
@@ -149,15 +150,15 @@
             yield
         return steps
 
-    def _move_price(self):
-        """Skew that one move must save."""
+    def _min_gain_per_move(self):
+        """Return the skew that each move must save."""
         weights = self._objective.cost_weight / self._objective.skew_weight
         return self._settings.move_cost * weights
 
-    def _best(self, expert_map, estimates, steps, before):
+    def _best_plan(self, expert_map, estimates, steps, before):
         loads, slowness = estimates.expert_loads, estimates.slowness
         mean_time = float((expert_map.rank_loads(loads) * slowness).mean())
-        price = self._move_price()
+        price = self._min_gain_per_move()
         best = min(steps, key=lambda step: step.peak / mean_time + price * step.moves)
         after = best.peak / mean_time
         if before - after < self._settings.least_gain + price * best.moves:
--- a/siskinthread/experts/_rank_engine.py
+++ b/siskinthread/experts/_rank_engine.py
@@ -1,14 +1,14 @@
-"""Adapter to the engine of one rank.
+"""HTTP client of the engine of one rank.
 
-The engine speaks HTTP:
+The engine's interface:
 
-- ``GET /rank?fencing=F&sequence=S`` answers the rank's state ``{"version",
-  "staged_version", "held"}``; an engine that checks numbers notes the number.
-- ``POST /rank/orders`` ``{"kind", "fencing", "sequence", "version", "slots"}`` carries
-  out an order and answers the state; an engine that checks numbers answers 409 to an
-  old one.
-- ``GET /rank/statistics`` answers ``{"expert_tokens", "step_time_ms", "version",
-  "slots"}``, one interval late.
+- ``GET /rank?fencing=F&sequence=S`` returns the rank's state ``{"version",
+  "staged_version", "held"}``; an engine that checks order numbers stores the number.
+- ``POST /rank/orders`` ``{"kind", "fencing", "sequence", "version", "slots"}`` executes
+  an order and returns the state; an engine that checks order numbers responds with 409
+  to an order with an outdated number.
+- ``GET /rank/statistics`` returns ``{"expert_tokens", "step_time_ms", "version",
+  "slots"}`` with a delay of one interval.
 """
 
 import curio
@@ -23,12 +23,13 @@
 
 
 class RankReport:
-    """Statistics of one rank's last interval.
+    """Statistics of the last interval of a rank.
 
     Parameters
     ----------
     expert_tokens : numpy.ndarray
-        Tokens of each expert on this rank; NaN for experts that it does not hold.
+        Shape (experts,); tokens of each expert on this rank, NaN for experts that the
+        rank does not hold.
     step_time_ms : float
         Mean step time; NaN if unknown.
     expert_map : ExpertMap
@@ -44,32 +45,32 @@
 
 
 class RankEngine:
-    """The engine behind a `RankGate`.
+    """Client of the engine behind a `RankGate`.
 
     Parameters
     ----------
     settings : RankSettings
-        Address, waits, and whether numbers are checked.
+        Address, time limits, and whether the engine checks order numbers.
     clock : Clock
-        Clock for orders that were not answered.
+        Clock for the time limit of pending orders.
     """
 
-    __slots__ = ("_client", "_clock", "_settings", "_settled_deadline")
+    __slots__ = ("_client", "_clock", "_settings", "_pending_deadline")
 
     def __init__(self, settings, clock):
         self._settings = settings
         self._clock = clock
         self._client = HttpClient("rank", settings.address, settings.answer_wait_s)
-        # An agent that was here before may have left an order on its way.
-        self._settled_deadline = Deadline.after(clock, settings.order_limit_s)
+        # An order of an earlier agent on this host may still be pending.
+        self._pending_deadline = Deadline.after(clock, settings.order_limit_s)
 
     async def state(self, number):
         """Return the rank's state."""
         query = f"fencing={number.fencing}&sequence={number.sequence}"
-        return await self._ask(lambda: self._client.get(f"/rank?{query}"))
+        return await self._call(lambda: self._client.get(f"/rank?{query}"))
 
     async def stage(self, number, version, expert_map):
-        """Load a map's weights beside those in force."""
+        """Load the weights of a map in addition to those in force."""
         slots = expert_map.slots.tolist()
         return await self._order("stage", number, version=version, slots=slots)
 
@@ -82,13 +83,16 @@
         return await self._order("switch", number, version=version)
 
     async def release(self, number):
-        """Go on."""
+        """Continue stepping."""
         return await self._order("release", number)
 
-    async def settle(self):
-        """Wait until no unanswered order can take effect any more."""
+    async def wait_for_pending_orders(self):
+        """Wait until no unanswered order can take effect any more.
+
+        Returns at once if the engine checks order numbers.
+        """
         if not self._settings.checks_fencing:
-            await curio.sleep(self._settled_deadline.left_s())
+            await curio.sleep(self._pending_deadline.left_s())
 
     async def report(self):
         """Return the `RankReport` of the last interval.
@@ -96,30 +100,30 @@
         Raises
         ------
         TargetError
-            If the engine gave no answer.
+            If the engine gave no valid answer.
         """
         try:
             body = await self._client.get("/rank/statistics")
             return _read_report(pyjson5.decode_utf8(body))
-        except (PlatformUnavailableError, *UNREADABLE) as error:
-            raise TargetError(f"no statistics of the rank: {error!r}") from error
+        except (PlatformUnavailableError, *_DECODING_ERRORS) as error:
+            raise TargetError(f"rank did not return statistics: {error!r}") from error
 
     async def _order(self, kind, number, **values):
         order = {"kind": kind, "fencing": number.fencing, "sequence": number.sequence}
         payload = pyjson5.encode({**order, **values}).encode()
-        self._settled_deadline = Deadline.after(
+        self._pending_deadline = Deadline.after(
             self._clock, self._settings.answer_wait_s + self._settings.order_limit_s
         )
-        return await self._ask(lambda: self._client.post("/rank/orders", payload))
+        return await self._call(lambda: self._client.post("/rank/orders", payload))
 
-    async def _ask(self, request):
+    async def _call(self, request):
         try:
             return _read_state(pyjson5.decode_utf8(await request()))
-        except (PlatformUnavailableError, *UNREADABLE) as error:
-            raise TargetError(f"no answer of the rank: {error!r}") from error
+        except (PlatformUnavailableError, *_DECODING_ERRORS) as error:
+            raise TargetError(f"rank did not return its state: {error!r}") from error
 
 
-UNREADABLE = (pyjson5.Json5Exception, KeyError, TypeError, ValueError)
+_DECODING_ERRORS = (pyjson5.Json5Exception, KeyError, TypeError, ValueError)
 
 
 def _read_state(value):
--- a/siskinthread/experts/_rank_gate.py
+++ b/siskinthread/experts/_rank_gate.py
@@ -1,13 +1,13 @@
-"""The gate before one rank's engine, in the agent of its host.
+"""Gate in front of the engine of one rank, in the agent of the rank's host.
 
-Rules that keep a step from running on mixed maps:
+These rules prevent a step on mixed maps:
 
-1. An order below the highest number seen is refused.
-2. A rank that has switched, or may have, stays held until it is told to go on.
-3. A rank that has not switched goes on by itself when its hold passes its deadline, so
-   that a dead controller does not hold the group.
-4. To an engine that ignores fencing numbers, no order is sent while an earlier one is
-   unaccounted for.
+1. An order with a number below the highest received number is refused.
+2. A rank that has switched, or may have, stays held until an order releases it.
+3. A rank that has not switched is released when its hold passes its deadline, so that a
+   failed controller does not hold the group.
+4. An engine that does not check fencing numbers gets no order while an earlier order
+   may still take effect.
 """
 
 import functools
@@ -28,18 +28,19 @@
 
 
 class RankGate:
-    """Checks orders and passes them to the engine, one at a time.
+    """Check orders and pass them to the engine, one at a time.
 
     Parameters
     ----------
     engine : object
-        Adapter with the coroutines ``state(number)``, ``stage(number, version,
-        expert_map)``, ``hold(number)``, ``switch(number, version)``,
-        ``release(number)`` and ``settle()``.  Each returns a `RankState` or raises
-        `TargetError` when no answer came.  ``settle()`` returns only once no earlier
-        order can take effect any more, or at once for an engine that checks numbers.
+        Client with the coroutines ``state(number)``, ``stage(number, version,
+        expert_map)``, ``hold(number)``, ``switch(number, version)`` and
+        ``release(number)``, each of which returns a `RankState` or raises `TargetError`
+        if no answer came, and ``wait_for_pending_orders()``, which returns when no
+        earlier order can take effect any more, or at once for an engine that checks
+        order numbers.
     clock : Clock
-        Clock for the hold.
+        Clock for the deadline of a hold.
     hold_limit_s : float
         Longest hold without a switch.
     """
@@ -52,7 +53,7 @@
         "_hold_limit_s",
         "_lock",
         "_may_have_switched",
-        "_unsettled",
+        "_has_pending_order",
     )
 
     def __init__(self, engine, clock, hold_limit_s):
@@ -62,14 +63,14 @@
         self._lock = curio.Lock()
         self._highest = None
         self._hold_deadline = None
-        # A new gate may follow one that died with an order on its way to the engine.
-        # Acting before that order is accounted for could release a rank that the
-        # engine then switches: the group would step on mixed maps.
-        self._unsettled = True
+        # An earlier gate may have failed while an order to the engine was pending.
+        # Without waiting for that order, this gate could release a rank that the engine
+        # switches afterwards, and the group would step on mixed maps.
+        self._has_pending_order = True
         self._may_have_switched = True
 
     async def handle(self, order):
-        """Carry out an order.
+        """Execute an order.
 
         Parameters
         ----------
@@ -79,76 +80,79 @@
         Returns
         -------
         Done, Refused or None
-            None when the engine gave no answer: the order may yet take effect.
+            None if the engine gave no answer; the order may still take effect.
         """
         if self._highest is not None and order.number < self._highest:
             return Refused(self._highest)
         self._highest = order.number
         async with self._lock:
-            # While this waited, a higher order may have come in.
+            # An order with a higher number may have arrived during the wait.
             if order.number < self._highest:
                 return Refused(self._highest)
             try:
-                await self._settle()
-                return await _carry_out(order, self)
+                await self._wait_for_pending_orders()
+                return await _execute(order, self)
             except TargetError:
                 return None
 
-    async def lapse(self):
-        """Release a hold whose deadline passed, unless the rank may have switched."""
+    async def release_expired_hold(self):
+        """Release a hold that passed its deadline.
+
+        A rank that may have switched stays held.
+        """
         async with self._lock:
             if self._hold_deadline is None or not self._hold_deadline.passed():
                 return
             if self._may_have_switched:
                 return
             try:
-                await self._settle()
-                await self._send("release", self._highest.following())
+                await self._wait_for_pending_orders()
+                await self._send("release", self._highest.successor())
                 self._hold_deadline = None
             except TargetError:
                 self._hold_deadline = Deadline.after(self._clock, self._hold_limit_s)
 
-    async def _settle(self):
+    async def _wait_for_pending_orders(self):
         """Wait until no earlier order can take effect any more."""
-        if self._unsettled:
-            await self._engine.settle()
-            self._unsettled = False
+        if self._has_pending_order:
+            await self._engine.wait_for_pending_orders()
+            self._has_pending_order = False
 
     async def _send(self, name, *arguments):
-        """Send one order to the engine; leave the gate unsettled without an answer."""
-        self._unsettled = True
+        """Send an order to the engine; without an answer, it counts as pending."""
+        self._has_pending_order = True
         state = await getattr(self._engine, name)(*arguments)
-        self._unsettled = False
+        self._has_pending_order = False
         return Done(state)
 
 
 @functools.singledispatch
-async def _carry_out(order, gate):
-    raise TypeError(f"no order: {order!r}")
+async def _execute(order, gate):
+    raise TypeError(f"unknown order: {order!r}")
 
 
-@_carry_out.register
+@_execute.register
 async def _(order: Promise, gate):
     return Done(await gate._engine.state(order.number))
 
 
-@_carry_out.register
+@_execute.register
 async def _(order: Stage, gate):
     return await gate._send("stage", order.number, order.version, order.expert_map)
 
 
-@_carry_out.register
+@_execute.register
 async def _(order: Hold, gate):
     state = await gate._engine.state(order.number)
-    # A rank found held under a gate that was not there when it was held may have
-    # switched; only one found running certainly has not.
+    # A rank that was held before this gate started may have switched.  Only a rank that
+    # is not held has certainly not switched.
     if not state.held:
         gate._may_have_switched = False
     gate._hold_deadline = Deadline.after(gate._clock, gate._hold_limit_s)
     return await gate._send("hold", order.number)
 
 
-@_carry_out.register
+@_execute.register
 async def _(order: Switch, gate):
     state = await gate._engine.state(order.number)
     if not state.held or state.staged_version != order.version:
@@ -157,7 +161,7 @@
     return await gate._send("switch", order.number, order.version)
 
 
-@_carry_out.register
+@_execute.register
 async def _(order: Release, gate):
     state = await gate._engine.state(order.number)
     if state.version != order.version:
--- a/siskinthread/experts/_rank_service.py
+++ b/siskinthread/experts/_rank_service.py
@@ -1,4 +1,4 @@
-"""Agent side of a controller's connection: orders in, replies out."""
+"""Agent side of a controller's connection: receives orders and sends replies."""
 
 import functools
 
@@ -22,62 +22,62 @@
 
 
 class RankService:
-    """The rank of this host, as controllers reach it.
+    """Serve the rank of this host to controllers.
 
     Parameters
     ----------
     settings : RankSettings
-        The rank.
+        Settings of the rank.
     clock : Clock
-        The process's clock.
-    heard : callable
-        Called with the host of a controller at each sign of its life.
+        Clock for the deadlines.
+    on_heartbeat : callable
+        Called with the host of a controller for each frame of that controller.
     """
 
-    __slots__ = ("_settings", "engine", "gate", "heard")
+    __slots__ = ("_settings", "engine", "gate", "on_heartbeat")
 
-    def __init__(self, settings, clock, heard=lambda host: None):
+    def __init__(self, settings, clock, on_heartbeat=lambda host: None):
         self._settings = settings
-        self.heard = heard
+        self.on_heartbeat = on_heartbeat
         self.engine = RankEngine(settings, clock)
         self.gate = RankGate(self.engine, clock, settings.hold_limit_s)
 
     async def run(self):
-        """Release holds that pass their limit; runs until cancelled."""
+        """Release holds that pass their deadlines, until cancelled."""
         while True:
-            await self.gate.lapse()
+            await self.gate.release_expired_hold()
             await curio.sleep(self._settings.lapse_interval_s)
 
     async def serve(self, channel, frames):
-        """Answer a controller until its connection ends.
+        """Answer the frames of a controller until its connection ends.
 
         Parameters
         ----------
         channel : Channel
             An authenticated connection.
         frames : list of Frame
-            Frames that arrived right behind the handshake.
+            Frames that arrived together with the end of the handshake.
 
         Raises
         ------
         ConnectionLostError, ProtocolError
-            In the end, always.
+            Always, when the connection ends.
         """
         while True:
             for frame in frames:
-                self.heard(channel.peer_hello.host)
+                self.on_heartbeat(channel.peer_hello.host)
                 message = message_of(frame)
                 if isinstance(message, Heartbeat):
                     continue
                 if getattr(message, "group", None) != self._settings.group:
-                    raise ProtocolError("no frame for the rank of this host")
+                    raise ProtocolError("frame is not for the group of this host")
                 await channel.send(await _answer(message, self))
             frames = await channel.receive()
 
 
 @functools.singledispatch
 async def _answer(message, service):
-    raise ProtocolError(f"a controller sends no {type(message).__name__}")
+    raise ProtocolError(f"unexpected {type(message).__name__} from a controller")
 
 
 @_answer.register
--- a/siskinthread/experts/_rank_settings.py
+++ b/siskinthread/experts/_rank_settings.py
@@ -4,26 +4,30 @@
 
 
 class RankSettings(Section):
-    """The rank of a model group that runs on this host."""
+    """Settings of the rank of a model group that runs on this host."""
 
     group = Item(str, default="", description="Model group; empty for no rank.")
     address = Item(
-        Address, default=None, description="Where the rank's engine takes orders."
+        Address, default=None, description="Address at which the engine takes orders."
     )
     checks_fencing = Item(
         bool,
         default=False,
-        description="Whether the engine refuses orders with an old fencing number.",
+        description="Whether the engine refuses orders with an outdated fencing "
+        "number.",
     )
     order_limit_s = Item(
         float,
         default=5.0,
         minimum=0.0,
-        description="Time after which an unanswered order can't take effect any more "
-        "at an engine that does not check fencing numbers.",
+        description="Time after which an unanswered order can no longer take effect at "
+        "an engine that does not check fencing numbers.",
     )
     answer_wait_s = Item(
-        float, default=2.0, minimum=0.01, description="Longest wait for an answer."
+        float,
+        default=2.0,
+        minimum=0.01,
+        description="Longest wait for an answer of the engine.",
     )
     hold_limit_s = Item(
         float,
@@ -35,13 +39,13 @@
         float,
         default=0.2,
         minimum=0.01,
-        description="Time between looks for a hold that has passed its limit.",
+        description="Interval of checks for a hold that has passed its limit.",
     )
     plan_interval_s = Item(
         float,
         default=60.0,
         minimum=0.05,
-        description="Time between plans of the group's controller.",
+        description="Interval of plans of the group's controller.",
     )
     order_wait_s = Item(
         float,
--- a/siskinthread/experts/_recomputation.py
+++ b/siskinthread/experts/_recomputation.py
@@ -1,6 +1,6 @@
-"""Greedy placement of a whole map from nothing.
+"""Greedy computation of a complete map from the expert loads alone.
 
-The baseline that the planner is measured against, and the way to a group's first map.
+It gives a group its first map, and serves as the baseline for the planner.
 """
 
 import heapq
@@ -11,12 +11,15 @@
 
 
 def recompute_map(expert_loads, rank_count, slots_per_rank, version=0):
-    """Return a map placed greedily: replicas to the fullest, largest first.
+    """Return a map that is computed greedily from the expert loads.
+
+    Each spare slot goes to the expert with the highest load per replica.  The replicas
+    are then placed in order of decreasing load, each on the least loaded rank.
 
     Parameters
     ----------
     expert_loads : numpy.ndarray
-        Tokens of each expert.
+        Shape (experts,); tokens of each expert.
     rank_count, slots_per_rank : int
         Size of the layer.
     version : int
@@ -32,32 +35,34 @@
     slots = [[] for _ in range(rank_count)]
     ranks = [(0.0, rank) for rank in range(rank_count)]
     for index in np.argsort(-shares, kind="stable"):
-        _place(int(experts[index]), float(shares[index]), ranks, slots, slots_per_rank)
+        _place_replica(
+            int(experts[index]), float(shares[index]), ranks, slots, slots_per_rank
+        )
     return ExpertMap(slots, len(expert_loads), version)
 
 
 def _replica_counts(expert_loads, rank_count, slots_per_rank):
     counts = np.ones(len(expert_loads), dtype=int)
-    fullest = [(-load, expert) for expert, load in enumerate(expert_loads)]
-    heapq.heapify(fullest)
+    by_load_per_replica = [(-load, expert) for expert, load in enumerate(expert_loads)]
+    heapq.heapify(by_load_per_replica)
     for _ in range(rank_count * slots_per_rank - len(expert_loads)):
-        _, expert = heapq.heappop(fullest)
+        _, expert = heapq.heappop(by_load_per_replica)
         counts[expert] += 1
         if counts[expert] < rank_count:
             share = expert_loads[expert] / counts[expert]
-            heapq.heappush(fullest, (-share, expert))
+            heapq.heappush(by_load_per_replica, (-share, expert))
     return counts
 
 
-def _place(expert, share, ranks, slots, slots_per_rank):
-    """Put a replica on the least loaded rank that does not hold the expert yet."""
-    passed_over = []
+def _place_replica(expert, share, ranks, slots, slots_per_rank):
+    """Place a replica on the least loaded rank that does not hold the expert yet."""
+    skipped = []
     load, rank = heapq.heappop(ranks)
     while expert in slots[rank] and ranks:
-        passed_over.append((load, rank))
+        skipped.append((load, rank))
         load, rank = heapq.heappop(ranks)
     slots[rank].append(expert)
     if len(slots[rank]) < slots_per_rank:
         heapq.heappush(ranks, (load + share, rank))
-    for entry in passed_over:
+    for entry in skipped:
         heapq.heappush(ranks, entry)
--- a/siskinthread/experts/_remote_ranks.py
+++ b/siskinthread/experts/_remote_ranks.py
@@ -1,4 +1,4 @@
-"""Controller side: the ranks of a group behind the agents of their hosts."""
+"""Controller side of the connections to the ranks of a group."""
 
 import itertools
 
@@ -21,20 +21,20 @@
 
 
 class RankConnection:
-    """One question after the other to one agent.
+    """Connection to an agent that carries one request at a time.
 
-    Each question has a deadline.  After silence the connection is closed: a late reply
-    would be taken for that of the next question, and a connection that something in
-    between lost track of would stay silent for ever.
+    Each request has a time limit, after which the connection is closed.  Otherwise a
+    late reply could be matched to the next request, and a connection whose state was
+    lost by a device on the path would never answer again.
 
     Parameters
     ----------
     identity : Identity
-        This process.
+        Identity of this process.
     settings : PeerSettings
-        Keys and waits.
+        Keys and time limits.
     address : Address
-        Where the agent listens.
+        Address of the agent.
     answer_wait_s : float
         Longest wait for a reply.
     """
@@ -56,18 +56,18 @@
         self._channel = None
         self._lock = curio.Lock()
 
-    async def ask(self, frame):
-        """Send a frame and return the message that answers it, or None."""
+    async def request(self, frame):
+        """Send a request and return the message that answers it, or None."""
         async with self._lock:
             try:
                 async with curio.timeout_after(self._answer_wait_s):
-                    return await self._ask(frame)
+                    return await self._exchange(frame)
             except (ConnectionLostError, ProtocolError, curio.TaskTimeout):
                 await self.close()
                 return None
 
     async def notify(self, frame):
-        """Send a frame that nobody answers, if the connection is up."""
+        """Send a frame that has no answer, if the connection is open."""
         async with self._lock:
             if self._channel is None:
                 return
@@ -83,19 +83,19 @@
             await self._channel.close()
             self._channel = None
 
-    async def _ask(self, frame):
+    async def _exchange(self, frame):
         if self._channel is None:
-            self._channel = await self._dial()
+            self._channel = await self._connect()
         await self._channel.send(frame)
         frames = []
         while not frames:
             frames = await self._channel.receive()
         answer = message_of(frames[0])
         if getattr(answer, "question", None) != message_of(frame).question:
-            raise ProtocolError("an answer to another question")
+            raise ProtocolError("answer does not match the request")
         return answer
 
-    async def _dial(self):
+    async def _connect(self):
         settings = self._settings
         channel = await open_channel(
             self.address.host,
@@ -113,16 +113,16 @@
 
 
 class RemoteRanks:
-    """The ranks of one group, as `MapChange` uses them.
+    """The ranks of a group, reached through the agents of their hosts.
 
     Parameters
     ----------
     group : str
         Name of the group.
     identity : Identity
-        This process.
+        Identity of this process.
     settings : PeerSettings
-        Keys and waits.
+        Keys and time limits.
     answer_wait_s : float
         Longest wait for a reply.
     """
@@ -132,7 +132,7 @@
         "_connections",
         "_group",
         "_identity",
-        "_questions",
+        "_question_ids",
         "_settings",
     )
 
@@ -142,10 +142,10 @@
         self._settings = settings
         self._answer_wait_s = answer_wait_s
         self._connections = {}
-        self._questions = itertools.count(1)
+        self._question_ids = itertools.count(1)
 
     async def reconcile(self, addresses):
-        """Take in the addresses of the group's agents, a dict of host to `Address`."""
+        """Apply the addresses of the group's agents, a dict of host to `Address`."""
         for host in list(self._connections):
             if self._connections[host].address != addresses.get(host):
                 await self._connections.pop(host).close()
@@ -156,18 +156,18 @@
                 )
 
     def names(self):
-        """Return the hosts of the ranks, sorted: rank by rank."""
+        """Return the hosts of the ranks, sorted, in the order of the ranks."""
         return sorted(self._connections)
 
     async def broadcast(self, orders):
         """Send each order and return the replies by host."""
         frames = {
             host: Frame(
-                rank_order=encode_order(order, self._group, next(self._questions))
+                rank_order=encode_order(order, self._group, next(self._question_ids))
             )
             for host, order in orders.items()
         }
-        messages = await self._ask_all(frames)
+        messages = await self._request_all(frames)
         return {
             host: None if message is None else decode_reply(message)
             for host, message in messages.items()
@@ -178,20 +178,20 @@
         frames = {
             host: Frame(
                 rank_statistics_request=RankStatisticsRequest(
-                    next(self._questions), self._group
+                    next(self._question_ids), self._group
                 )
             )
             for host in self.names()
         }
-        messages = await self._ask_all(frames)
+        messages = await self._request_all(frames)
         return {
             host: None if message is None else decode_report(message)
             for host, message in messages.items()
         }
 
     async def send_heartbeat(self):
-        """Tell every rank that its controller is alive."""
-        frame = Frame(heartbeat=Heartbeat(sequence=next(self._questions)))
+        """Send a heartbeat to every rank to which a connection is open."""
+        frame = Frame(heartbeat=Heartbeat(sequence=next(self._question_ids)))
         for connection in self._connections.values():
             await connection.notify(frame)
 
@@ -200,9 +200,9 @@
         for connection in self._connections.values():
             await connection.close()
 
-    async def _ask_all(self, frames):
+    async def _request_all(self, frames):
         tasks = {}
         async with curio.TaskGroup() as group:
             for host, frame in frames.items():
-                tasks[host] = await group.spawn(self._connections[host].ask, frame)
+                tasks[host] = await group.spawn(self._connections[host].request, frame)
         return {host: task.result for host, task in tasks.items()}
--- a/siskinthread/experts/_report.py
+++ b/siskinthread/experts/_report.py
@@ -3,24 +3,29 @@
 import collections
 import json
 
-from siskinthread.experts._controller import Hindrance
+from siskinthread.experts._controller import SkipReason
 from siskinthread.experts._group_view import GroupView
 
-FINE = 0
+HEALTHY = 0
 NOT_CONTROLLED = 3
 NO_ANSWER = 4
-NAMES_SHOWN = 5
+SHOWN_HOST_LIMIT = 5
 
 
 class ExpertsReport:
-    """Who controls which group, and what the controllers last did.
+    """Controllers of the groups and their last changes.
 
     Parameters
     ----------
     answers : list of HostAnswer
-        All agents that were asked.
+        Answers of all queried agents.
     group : str
-        The one group that was asked about; empty for all.
+        Group to which the query was limited; empty for all.
+
+    Attributes
+    ----------
+    groups : list of GroupView
+        Groups of which any agent answered, by name.
     """
 
     __slots__ = ("_answers", "_group", "groups")
@@ -36,21 +41,24 @@
 
     @property
     def exit_code(self):
-        """0 if each group has one sound controller; 3 if not; 4 if an agent is silent.
+        """Exit code of the command.
+
+        0 if each group has one controller without an unfinished recovery, 3 if not, and
+        4 if an agent gave no answer.
 
         Notes
         -----
-        As with ``siskinthread status``, silence of a host that leaves is no fault.
+        As with ``siskinthread status``, a missing answer of a leaving host is no error.
         """
         if self._group and not self.groups:
             return NOT_CONTROLLED
-        if not all(_is_sound(group) for group in self.groups):
+        if not all(_is_healthy(group) for group in self.groups):
             return NOT_CONTROLLED
         silent = [answer for answer in self._silent() if not answer.entry.leaving]
-        return NO_ANSWER if silent else FINE
+        return NO_ANSWER if silent else HEALTHY
 
     def render(self, as_json, with_map=False):
-        """Return the report as text, or as one JSON object."""
+        """Return the report as text or as a JSON object."""
         if as_json:
             return json.dumps(self._as_dict(with_map), indent=2)
         return "\n".join(self._lines(with_map))
@@ -67,11 +75,11 @@
         silent = self._silent()
         if silent:
             yield f"no answer from {len(silent)} of {len(self._answers)} agents:"
-        for answer in silent[:NAMES_SHOWN]:
+        for answer in silent[:SHOWN_HOST_LIMIT]:
             leaving = " (leaving)" if answer.entry.leaving else ""
             yield f"  {answer.entry.host}{leaving}: {answer.problem}"
-        if len(silent) > NAMES_SHOWN:
-            yield f"  and {len(silent) - NAMES_SHOWN} more"
+        if len(silent) > SHOWN_HOST_LIMIT:
+            yield f"  and {len(silent) - SHOWN_HOST_LIMIT} more"
 
     def _as_dict(self, with_map):
         return {
@@ -88,7 +96,7 @@
         }
 
 
-def _is_sound(group):
+def _is_healthy(group):
     if group.in_force is None or len(group.claimants) != 1:
         return False
-    return group.in_force.verdict != Hindrance.RECOVERY_UNFINISHED
+    return group.in_force.verdict != SkipReason.RECOVERY_UNFINISHED
--- a/siskinthread/experts/_search.py
+++ b/siskinthread/experts/_search.py
@@ -1,67 +1,71 @@
-"""Search for single steps that relieve the slowest rank.
+"""Local search for steps that reduce the load of the slowest rank.
 
-Each step takes the slowest rank and looks, over all slots at once, for the best of two
-kinds of step: another rank gives up a spare replica of some expert for one more replica
-of an expert of the slowest rank (one move), or the two swap an expert (two moves).
+Each step starts from the slowest rank and evaluates, vectorized over all slots, two
+kinds of step: another rank replaces a spare replica of some expert by an additional
+replica of an expert of the slowest rank (one move), or the two ranks swap an expert
+(two moves).
 """
 
 import numpy as np
 
 SWAP_MOVES = 2
 ADD_MOVES = 1
-LEAST_RELIEF = 0.995
+MAX_PEAK_RATIO = 0.995
 
 
 class Step:
-    """One step and the map it leads to.
+    """A step of the search and the resulting map.
 
     Parameters
     ----------
     slots : numpy.ndarray
-        Expert of each slot after the step, flat.
+        Shape (slots,); expert of each slot of all ranks after the step.
     moves : int
-        Experts loaded on ranks since the start of the search.
+        Expert loads on ranks since the start of the search.
     peak : float
         Time of the slowest rank after the step.
-    promised_peak : float
-        Upper bound of the time of the ranks that the step touches.
+    peak_bound : float
+        Upper bound of the times of the ranks that the step changes, including the
+        penalty of a swap.
     """
 
-    __slots__ = ("moves", "peak", "promised_peak", "slots")
+    __slots__ = ("moves", "peak", "peak_bound", "slots")
 
-    def __init__(self, slots, moves, peak, promised_peak):
-        self.promised_peak = promised_peak
+    def __init__(self, slots, moves, peak, peak_bound):
+        self.peak_bound = peak_bound
         self.slots = slots
         self.moves = moves
         self.peak = peak
 
 
-class _View:
-    """What a step from the slowest rank looks at; arrays are by slot.
+class _StepContext:
+    """Values by which steps from the slowest rank are evaluated.
+
+    The arrays have the shape (slots,) over the slots of all ranks.
 
     Parameters
     ----------
     slowest : int
-        The slowest rank.
+        Index of the slowest rank.
     slowest_time : float
-        Its time.
+        Time of the slowest rank.
     shares : numpy.ndarray
         Load of the replica in each slot.
     slot_times : numpy.ndarray
-        Time of the slot's rank.
-    others : numpy.ndarray
-        Worst time, once the slot's replica is given up, among the other holders of its
-        expert but the slowest rank; infinite if there is no other holder.
+        Time of the rank of each slot.
+    other_holder_times : numpy.ndarray
+        If the replica in the slot is removed: longest time among the other ranks that
+        hold its expert, except the slowest rank; infinite without another replica.
     held_by_slowest : numpy.ndarray
-        Whether the slowest rank holds the slot's expert.
-    extra_of_slowest : numpy.ndarray
-        What the slowest rank then carries more.
+        Whether the slowest rank holds the expert of the slot.
+    slowest_extra_time : numpy.ndarray
+        If the replica in the slot is removed: additional time of the slowest rank.
     """
 
     __slots__ = (
-        "extra_of_slowest",
+        "slowest_extra_time",
         "held_by_slowest",
-        "others",
+        "other_holder_times",
         "shares",
         "slot_times",
         "slowest",
@@ -74,32 +78,38 @@
         slowest_time,
         shares,
         slot_times,
-        others,
+        other_holder_times,
         held_by_slowest,
-        extra_of_slowest,
+        slowest_extra_time,
     ):
         self.slowest = slowest
         self.slowest_time = slowest_time
         self.shares = shares
         self.slot_times = slot_times
-        self.others = others
+        self.other_holder_times = other_holder_times
         self.held_by_slowest = held_by_slowest
-        self.extra_of_slowest = extra_of_slowest
+        self.slowest_extra_time = slowest_extra_time
 
 
 class Search:
-    """Goes on from a map, step by step.
+    """Improve a map step by step.
 
     Parameters
     ----------
     expert_map : ExpertMap
-        Where to start.
+        Map from which the search starts.
     expert_loads : numpy.ndarray
-        Tokens of each expert.
+        Shape (experts,); tokens of each expert.
     slowness : numpy.ndarray
-        Relative time of each rank for a token.
+        Shape (ranks,); relative time of each rank per token.
     swap_penalty : float
-        Time that a swap must save over an added replica, since it moves two experts.
+        Time that a swap must save in addition to that saved by an added replica, since
+        a swap loads two experts instead of one.
+
+    Attributes
+    ----------
+    moves : int
+        Expert loads on ranks since the start of the search.
     """
 
     __slots__ = (
@@ -126,118 +136,120 @@
         self.moves = 0
 
     def rank_times(self):
-        """Return the time of each rank now."""
+        """Return the time of each rank under the present map."""
         shares = (self._expert_loads / self._counts)[self._slots]
         loads = shares.reshape(-1, self._slots_per_rank).sum(axis=1)
         return loads * self._slowness
 
     def step(self):
-        """Take the best step that relieves the slowest rank.
+        """Apply the best step that reduces the time of the slowest rank.
 
         Returns
         -------
         Step or None
-            None when no step helps.
+            None if no step reduces the time enough.
         """
         times = self.rank_times()
         slowest = int(times.argmax())
-        view = self._view(times, slowest)
+        context = self._step_context(times, slowest)
         best_peak, best_slot, best_own_slot, best_swaps = np.inf, -1, -1, False
         for own_slot in self._slots_of(slowest):
-            barred = self._ranks_holding(self._slots[own_slot])
+            is_holder_rank = self._ranks_holding(self._slots[own_slot])
             for swaps, peaks in (
-                (False, self._peaks_of_adding(view, own_slot)),
-                (True, self._peaks_of_swapping(view, own_slot)),
+                (False, self._peaks_of_adding(context, own_slot)),
+                (True, self._peaks_of_swapping(context, own_slot)),
             ):
-                peaks[barred] = np.inf
+                peaks[is_holder_rank] = np.inf
                 slot = int(peaks.argmin())
                 if peaks[slot] < best_peak:
                     best_peak, best_slot = peaks[slot], slot
                     best_own_slot, best_swaps = own_slot, swaps
-        if best_peak >= times[slowest] * LEAST_RELIEF:
+        if best_peak >= times[slowest] * MAX_PEAK_RATIO:
             return None
         self._apply(best_own_slot, best_slot, best_swaps)
         peak = float(self.rank_times().max())
         return Step(self._slots.copy(), self.moves, peak, float(best_peak))
 
-    def _view(self, times, slowest):
-        """Gather by slot what every kind of step from one rank needs."""
+    def _step_context(self, times, slowest):
+        """Return the values that both kinds of step from the slowest rank need."""
         shares = (self._expert_loads / self._counts)[self._slots]
         counts = self._counts[self._slots]
         slot_times = times[self._rank_of_slot]
         extra = shares / np.maximum(counts - 1, 1)
-        carried = slot_times + extra * self._slowness_of_slot
-        carried[self._rank_of_slot == slowest] = -np.inf
-        others = self._worst_other(carried)
-        # Giving up the last replica of an expert would lose the expert: tokens routed
-        # to it would have nowhere to go, and the map would be refused when built.
-        others[counts == 1] = np.inf
-        held = np.zeros(len(self._counts), dtype=bool)
-        held[self._slots[list(self._slots_of(slowest))]] = True
-        held_by_slowest = held[self._slots]
-        extra_of_slowest = np.zeros(len(self._slots))
-        extra_of_slowest[held_by_slowest] = (
+        raised_times = slot_times + extra * self._slowness_of_slot
+        raised_times[self._rank_of_slot == slowest] = -np.inf
+        other_holder_times = self._largest_other(raised_times)
+        # The last replica of an expert must not be removed: `ExpertMap` rejects a map
+        # without the expert, since tokens routed to it could not be processed.
+        other_holder_times[counts == 1] = np.inf
+        is_held = np.zeros(len(self._counts), dtype=bool)
+        is_held[self._slots[list(self._slots_of(slowest))]] = True
+        held_by_slowest = is_held[self._slots]
+        slowest_extra_time = np.zeros(len(self._slots))
+        slowest_extra_time[held_by_slowest] = (
             extra[held_by_slowest] * self._slowness[slowest]
         )
-        return _View(
+        return _StepContext(
             slowest,
             times[slowest],
             shares,
             slot_times,
-            others,
+            other_holder_times,
             held_by_slowest,
-            extra_of_slowest,
+            slowest_extra_time,
         )
 
-    def _worst_other(self, values):
-        """Return, for each slot, the greatest value of its expert's other slots."""
+    def _largest_other(self, values):
+        """Return, for each slot, the largest value among its expert's other slots."""
         slots = self._slots
         first = np.full(len(self._counts), -np.inf)
         np.maximum.at(first, slots, values)
-        greatest = np.flatnonzero(values == first[slots])
-        place = np.full(len(self._counts), -1)
-        place[slots[greatest]] = greatest
-        rest = values.copy()
-        rest[place[place >= 0]] = -np.inf
+        largest_indices = np.flatnonzero(values == first[slots])
+        largest_slot = np.full(len(self._counts), -1)
+        largest_slot[slots[largest_indices]] = largest_indices
+        remaining = values.copy()
+        remaining[largest_slot[largest_slot >= 0]] = -np.inf
         second = np.full(len(self._counts), -np.inf)
-        np.maximum.at(second, slots, rest)
-        own = place[slots] == np.arange(len(slots))
-        return np.where(own, second[slots], first[slots])
+        np.maximum.at(second, slots, remaining)
+        is_own = largest_slot[slots] == np.arange(len(slots))
+        return np.where(is_own, second[slots], first[slots])
 
     def _slots_of(self, rank):
         first = rank * self._slots_per_rank
         return range(first, first + self._slots_per_rank)
 
     def _ranks_holding(self, expert):
-        """Return, for each slot, whether its rank holds an expert."""
-        held = (self._slots == expert).reshape(-1, self._slots_per_rank).any(axis=1)
-        return held[self._rank_of_slot]
+        """Return, for each slot, whether the slot's rank holds the expert."""
+        is_holder = (
+            (self._slots == expert).reshape(-1, self._slots_per_rank).any(axis=1)
+        )
+        return is_holder[self._rank_of_slot]
 
-    def _peaks_of_adding(self, view, own_slot):
-        """Return the worst time among the ranks touched, for each slot given up.
+    def _peaks_of_adding(self, context, own_slot):
+        """Return, for each slot, the longest time of the ranks changed by adding.
 
-        A replica of the expert in `own_slot` takes the place of what the slot holds.
-        The other replicas of what it held then carry more.  That the other holders of
-        the added expert carry less is left out, so the peaks are upper bounds.
+        A replica of the expert in `own_slot` replaces the expert of the slot, whose
+        other replicas then carry more load.  The peaks are upper bounds, because the
+        smaller load of the other replicas of the added expert is ignored.
         """
         expert = self._slots[own_slot]
         new_share = self._expert_loads[expert] / (self._counts[expert] + 1)
         slowness = self._slowness_of_slot
-        receiving = view.slot_times + (new_share - view.shares) * slowness
-        peaks = np.maximum(receiving, view.others)
-        saved = view.shares[own_slot] - new_share
-        relieved = view.slowest_time - saved * self._slowness[view.slowest]
-        np.maximum(peaks, relieved + view.extra_of_slowest, out=peaks)
+        receiving = context.slot_times + (new_share - context.shares) * slowness
+        peaks = np.maximum(receiving, context.other_holder_times)
+        saved = context.shares[own_slot] - new_share
+        slowest_after = context.slowest_time - saved * self._slowness[context.slowest]
+        np.maximum(peaks, slowest_after + context.slowest_extra_time, out=peaks)
         return peaks
 
-    def _peaks_of_swapping(self, view, own_slot):
-        """Return the worse time of the two ranks, for each slot swapped with."""
-        change = view.shares[own_slot] - view.shares
-        relieved = view.slowest_time - change * self._slowness[view.slowest]
-        other = view.slot_times + change * self._slowness_of_slot
-        peaks = np.maximum(relieved, other)
+    def _peaks_of_swapping(self, context, own_slot):
+        """Return, for each slot, the longer time of the two ranks after a swap."""
+        change = context.shares[own_slot] - context.shares
+        slowest_after = context.slowest_time - change * self._slowness[context.slowest]
+        other = context.slot_times + change * self._slowness_of_slot
+        peaks = np.maximum(slowest_after, other)
         peaks += self._swap_penalty
-        peaks[view.held_by_slowest] = np.inf
+        peaks[context.held_by_slowest] = np.inf
         return peaks
 
     def _apply(self, own_slot, slot, swaps):
--- a/siskinthread/experts/operators.py
+++ b/siskinthread/experts/operators.py
@@ -1,4 +1,4 @@
-"""What ``siskinthread experts show`` builds on; daemons don't import it."""
+"""Survey for ``siskinthread experts show``; not imported by the daemons."""
 
 import curio
 
@@ -14,14 +14,14 @@
 
 
 def survey(settings, group=""):
-    """Ask all agents; return the `ExpertsReport`.
+    """Query all agents and return the `ExpertsReport`.
 
     Parameters
     ----------
     settings : siskinthread.control.operators.StatusSettings
-        Where to ask.
+        Address of the host list, keys and time limits.
     group : str
-        The one group to ask about; empty for all.
+        Group to which the query is limited; empty for all.
 
     Raises
     ------
@@ -32,18 +32,18 @@
 
 
 async def survey_agents(settings, group=""):
-    """Return the `HostAnswer` of each agent, by host; see `survey`."""
+    """Query all agents and return a `HostAnswer` for each; see `survey`."""
     question = Frame(experts_question=ExpertsQuestion(group))
-    return await ask_hosts(settings, question, _take, role=AGENT_ROLE)
+    return await ask_hosts(settings, question, _read_status, role=AGENT_ROLE)
 
 
-def _take(frame):
+def _read_status(frame):
     status = frame.experts_status
     if status is None:
         return None
     if status.group is None or status.controls is None:
         raise ProtocolError("the answer holds no status")
     if status.expert_slots is not None:
-        # Refuses what is no map, before the report cuts it into ranks.
+        # Reject an invalid map before the report splits it into ranks.
         decode_map(status.expert_slots, status.version)
     return status
--- a/siskinthread/experts/tests/_explorer.py
+++ b/siskinthread/experts/tests/_explorer.py
@@ -1,7 +1,7 @@
-"""Enumerates faults of a map change, running the real gates and controller code.
+"""Enumeration of faults of a map change, with the real code of gates and controller.
 
-One run follows a list of choices; choice 0 is always the faultless one.  The explorer
-repeats runs until every list with at most `fault_limit` other choices was tried.
+Each run follows a list of choices, where choice 0 means no fault.  The explorer repeats
+runs until every list with at most `fault_limit` other choices has been tried.
 """
 
 from siskinthread.errors import TargetError
@@ -19,18 +19,18 @@
 DELIVERED, REQUEST_LOST, ANSWER_LOST, REQUEST_LATE, ENGINE_LATE, AGENT_REPLACED = range(
     6
 )
-FATES = 6
+FAULT_COUNT = 6
 
 
 class Choices:
-    """Choices of one run: the given ones, then all 0."""
+    """Choices of a run: the given choices, then 0 for all others."""
 
     def __init__(self, given):
         self.given = given
         self.made = []
 
     def pick(self, count):
-        """Return the next choice out of `count`."""
+        """Return the next choice from ``range(count)``."""
         index = len(self.made)
         choice = self.given[index] if index < len(self.given) else 0
         self.made.append((choice, count))
@@ -63,46 +63,46 @@
 
 
 class FakeEngine:
-    """A rank's engine; orders may take effect long after they were sent."""
+    """A rank's engine whose orders may take effect late."""
 
     def __init__(self, checks_fencing):
         self.version, self.staged, self.held = OLD_VERSION, None, False
         self.checks_fencing = checks_fencing
         self.highest = None
-        self.late = []
+        self.pending = []
         self.loses_next = False
 
     async def state(self, number):
-        """Return the state; a checking engine notes the number."""
+        """Return the state; an engine that checks numbers stores the number."""
         self._check(number)
         return RankState(self.version, self.staged, self.held)
 
     async def stage(self, number, version, expert_map):
-        """Load weights."""
+        """Load the weights of a map."""
         return self._send(number, lambda: setattr(self, "staged", version))
 
     async def hold(self, number):
-        """Stop at the step boundary."""
+        """Stop at the next step boundary."""
         return self._send(number, lambda: setattr(self, "held", True))
 
     async def switch(self, number, version):
-        """Put a version in force."""
+        """Put a map version in force."""
         return self._send(number, lambda: setattr(self, "version", version))
 
     async def release(self, number):
-        """Go on."""
+        """Continue stepping."""
         return self._send(number, lambda: setattr(self, "held", False))
 
-    async def settle(self):
-        """Account for every order under way, unless numbers do that."""
+    async def wait_for_pending_orders(self):
+        """Execute all pending orders, unless the engine checks numbers."""
         if self.checks_fencing:
             return
-        self.run_late()
+        self.run_pending()
 
-    def run_late(self):
-        """Let every order under way take effect."""
-        late, self.late = self.late, []
-        for number, effect in late:
+    def run_pending(self):
+        """Execute all pending orders."""
+        pending, self.pending = self.pending, []
+        for number, effect in pending:
             if self._check(number):
                 effect()
 
@@ -117,7 +117,7 @@
     def _send(self, number, effect):
         if self.loses_next:
             self.loses_next = False
-            self.late.append((number, effect))
+            self.pending.append((number, effect))
             raise TargetError("no answer")
         if self._check(number):
             effect()
@@ -125,14 +125,14 @@
 
 
 class Group:
-    """Ranks with their gates; also the transport of the orders."""
+    """The ranks of a group with their gates, and the transport of orders."""
 
     def __init__(self, choices, checks_fencing, rank_count):
         self.choices = choices
         self.clock = ManualClock()
         self.engines = [FakeEngine(checks_fencing) for _ in range(rank_count)]
         self.gates = [self._new_gate(engine) for engine in self.engines]
-        self.late_orders = []
+        self.delayed_orders = []
         self.faulty = True
         self.paused = None
 
@@ -144,48 +144,52 @@
         return list(range(len(self.engines)))
 
     async def broadcast(self, orders):
-        """Deliver each order with a chosen fate; then let chosen events happen."""
+        """Deliver each order with a chosen fault, then inject a chosen event."""
         replies = {}
         for rank, order in orders.items():
             replies[rank] = await self._deliver(rank, order)
             self.check()
         if self.faulty:
-            await self._between()
+            await self._inject_event()
         return replies
 
     async def _deliver(self, rank, order):
-        fate = self.choices.pick(FATES) if self.faulty else DELIVERED
-        if fate == REQUEST_LOST:
+        fault = self.choices.pick(FAULT_COUNT) if self.faulty else DELIVERED
+        if fault == REQUEST_LOST:
             return None
-        if fate == REQUEST_LATE:
-            self.late_orders.append((rank, order))
+        if fault == REQUEST_LATE:
+            self.delayed_orders.append((rank, order))
             return None
-        self.engines[rank].loses_next = fate == ENGINE_LATE
+        self.engines[rank].loses_next = fault == ENGINE_LATE
         reply = await self.gates[rank].handle(order)
         self.engines[rank].loses_next = False
-        if fate == AGENT_REPLACED:
+        if fault == AGENT_REPLACED:
             self.gates[rank] = self._new_gate(self.engines[rank])
-        return None if fate in (ANSWER_LOST, AGENT_REPLACED) else reply
+        return None if fault in (ANSWER_LOST, AGENT_REPLACED) else reply
 
-    async def _between(self):
-        """Let nothing, time, late orders or slow engines come between broadcasts."""
+    async def _inject_event(self):
+        """Inject a chosen event between two broadcasts.
+
+        The events are none, passing time, delivery of delayed orders, execution of
+        pending orders, and a step of the paused controller.
+        """
         event = self.choices.pick(4 if self.paused is None else 5)
         if event == 1:
             await self.pass_time()
         if event == 2:
-            await self.deliver_late()
+            await self.deliver_delayed()
         if event == 3:
-            self.run_engines()
+            self.run_pending_orders()
         if event == 4:
             paused, self.paused = self.paused, None
-            paused.wake(1)
+            paused.resume(1)
         self.check()
 
-    def end_soundly(self):
-        """End every fault; a last controller must then release the group."""
+    def end_without_faults(self):
+        """End all faults and check that a last controller releases the group."""
         self.faulty = False
-        run_to_end(self.deliver_late())
-        self.run_engines()
+        run_to_end(self.deliver_delayed())
+        self.run_pending_orders()
         run_to_end(self.pass_time())
         result = run_to_end(MapChange(self, fencing=30).recover(_map_of))
         assert result is ChangeResult.CHANGED
@@ -193,27 +197,27 @@
         assert len({engine.version for engine in self.engines}) == 1
 
     async def pass_time(self):
-        """Let every hold reach its deadline."""
+        """Advance the clock beyond the deadline of every hold."""
         self.clock.advance(2 * HOLD_LIMIT_S)
         for gate in self.gates:
-            await gate.lapse()
+            await gate.release_expired_hold()
             self.check()
 
-    async def deliver_late(self):
-        """Deliver the orders that were under way to gates."""
-        late, self.late_orders = self.late_orders, []
-        for rank, order in late:
+    async def deliver_delayed(self):
+        """Deliver the delayed orders to the gates."""
+        delayed, self.delayed_orders = self.delayed_orders, []
+        for rank, order in delayed:
             await self.gates[rank].handle(order)
             self.check()
 
-    def run_engines(self):
-        """Let the orders under way to engines take effect."""
+    def run_pending_orders(self):
+        """Execute the pending orders of all engines."""
         for engine in self.engines:
-            engine.run_late()
+            engine.run_pending()
             self.check()
 
     def check(self):
-        """Check that no step can run on mixed maps."""
+        """Check that no step can run on mixed expert maps."""
         if any(engine.held for engine in self.engines):
             return
         versions = {engine.version for engine in self.engines}
@@ -221,7 +225,7 @@
 
 
 class Paused:
-    """A controller that stops after some broadcasts and may wake later."""
+    """A controller that pauses after a number of broadcasts and may resume."""
 
     def __init__(self, group, coroutine_function, broadcast_limit):
         self._group = group
@@ -234,7 +238,7 @@
         return self._group.names()
 
     def broadcast(self, orders):
-        """Suspend the controller once it has used up its broadcasts."""
+        """Broadcast orders, or suspend the controller at its limit of broadcasts."""
         return self._broadcast(orders)
 
     async def _broadcast(self, orders):
@@ -244,14 +248,14 @@
         return await self._group.broadcast(orders)
 
     def run(self):
-        """Run until the end or the pause."""
+        """Run until the controller ends or pauses."""
         try:
             self._coroutine.send(None)
         except StopIteration:
             self._finished = True
 
-    def wake(self, broadcast_limit):
-        """Go on after the pause, for some broadcasts or, with -1, to the end."""
+    def resume(self, broadcast_limit):
+        """Resume for `broadcast_limit` broadcasts, or to the end with -1."""
         self._left = broadcast_limit
         if not self._finished:
             self.run()
@@ -272,16 +276,16 @@
 
 
 def change_with_successor(checks_fencing, pause_after, rank_count=2):
-    """Return a run: a controller, a successor with a change of its own, a sound end.
+    """Return a run of a controller and a successor that makes its own change.
 
     Parameters
     ----------
     checks_fencing : bool
-        Whether the engines refuse old numbers.
+        Whether the engines refuse outdated order numbers.
     pause_after : int
         Broadcasts of the first controller before it pauses; -1 for no pause.
     rank_count : int
-        Ranks of the group.
+        Number of ranks of the group.
     """
 
     def run(choices):
@@ -293,27 +297,27 @@
         run_to_end(successor.recover(_map_of))
         run_to_end(successor.change(group.engines[0].version, LAST_VERSION, None))
         group.paused = None
-        first.wake(-1)
-        group.end_soundly()
+        first.resume(-1)
+        group.end_without_faults()
 
     return run
 
 
 def change_without_successor(checks_fencing, pause_after):
-    """Return a run: a controller dies for good; holds must lapse by themselves."""
+    """Return a run of a controller that fails and whose holds must expire."""
 
     def run(choices):
         group = Group(choices, checks_fencing, rank_count=2)
         Paused(group, _first_change, pause_after).run()
         group.faulty = False
-        run_to_end(group.deliver_late())
-        group.run_engines()
+        run_to_end(group.deliver_delayed())
+        group.run_pending_orders()
         run_to_end(group.pass_time())
         switched = [engine.version != OLD_VERSION for engine in group.engines]
         replaced = AGENT_REPLACED in [choice for choice, _ in choices.made]
         if not any(switched) and pause_after <= BROADCASTS_UNTIL_HELD and not replaced:
             assert not any(engine.held for engine in group.engines), "held for ever"
-        group.end_soundly()
+        group.end_without_faults()
 
     return run
 
--- a/siskinthread/experts/tests/_naive.py
+++ b/siskinthread/experts/tests/_naive.py
@@ -1,10 +1,10 @@
-"""Naive search: tries every single step, rank by rank, in plain Python."""
+"""Naive search in plain Python that evaluates every single step."""
 
 import math
 
 
 def naive_best_peak(slots, expert_loads, slowness, swap_penalty):
-    """Return the least peak over all single steps from the slowest rank."""
+    """Return the smallest peak over all single steps from the slowest rank."""
     rows = [list(map(int, row)) for row in slots]
     counts = [sum(row.count(e) for row in rows) for e in range(len(expert_loads))]
     shares = [load / count for load, count in zip(expert_loads, counts, strict=True)]
--- a/siskinthread/experts/tests/group_bench.py
+++ b/siskinthread/experts/tests/group_bench.py
@@ -1,4 +1,4 @@
-"""A group of ranks with their gates and a controller, over loopback in one kernel."""
+"""A group of ranks with gates and controllers, over loopback in a single kernel."""
 
 import contextlib
 
@@ -25,21 +25,21 @@
 
 
 class NoonClock(type(SYSTEM_CLOCK)):
-    """The system's clock, at noon of any day."""
+    """The system's clock, except that the wall clock always shows noon."""
 
     __slots__ = ()
 
     def unix_ms(self):
-        """Return noon."""
+        """Return noon of 1 January 1970, milliseconds since the Unix epoch."""
         return NOON_MS
 
 
 class OpenRanks(RemoteRanks):
-    """Ranks whose methods a test may replace."""
+    """`RemoteRanks` without slots, so that a test can replace its methods."""
 
 
 class GroupBench:
-    """Starts the ranks and gates of a group; makes controllers."""
+    """Fixture that starts the ranks and gates of a group and makes controllers."""
 
     def __init__(self, *options, **rank_settings):
         self.group = Group(parse_options(options))
@@ -67,7 +67,7 @@
             await self._listen(f"host-{index:03d}", service)
 
     async def controller(self, fencing, quiet=False):
-        """Return a controller under a claim; a quiet one plans no moves."""
+        """Return a controller under a claim; with `quiet` it plans no moves."""
         windows = [(0, MINUTES_PER_DAY)] if quiet else []
         identity = Identity("host-000", "steinkjer", "agent")
         ranks = OpenRanks(GROUP, identity, self.peers, answer_wait_s=1.0)
@@ -88,12 +88,12 @@
         )
 
     async def step(self, count=1):
-        """Let the group step."""
+        """Run steps of the group."""
         for _ in range(count):
             self.group._step()
 
     async def stop(self):
-        """End everything."""
+        """Stop all tasks."""
         for task in self._tasks:
             await task.cancel()
 
--- a/siskinthread/experts/tests/test_controller.py
+++ b/siskinthread/experts/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""Whole changes of expert maps over loopback, with the stand-in of a group."""
+"""Tests of complete map changes over loopback, with the stand-in of a group."""
 
 import curio
 import pytest
@@ -6,7 +6,7 @@
 from siskinthread.experts import ChangeResult
 from siskinthread.experts.tests.group_bench import run_bench
 
-AT_ONCE = {"order_limit_s": 0.0}
+NO_PENDING_ORDERS = {"order_limit_s": 0.0}
 
 
 def versions(bench):
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("options", [(), ("--checks-fencing",)])
 def test_controller_evens_the_load(options):
-    """Rounds of a sound controller lower the skew, and no step is on mixed maps."""
+    """Rounds without faults reduce the skew, and no step runs on mixed maps."""
 
     async def scenario(bench):
         controller = await bench.controller(fencing=7)
@@ -38,15 +38,15 @@
         assert (fencing, old_version, result) == (7, 0, ChangeResult.CHANGED)
         assert version == 7 << 20
 
-    run_bench(scenario, *options, **AT_ONCE)
+    run_bench(scenario, *options, **NO_PENDING_ORDERS)
 
 
 def test_controller_that_dies_behind_the_hold_is_followed():
-    """A successor finishes or undoes the change, and the group steps on one map.
+    """Guards against a group that stays held after its controller has failed.
 
-    Symptom: the group stands still for good.  Events: the controller stages and holds
-    every rank, then dies; a successor with a newer claim comes.  Cause: without
-    recovery nobody knows of the ranks that are held.
+    A controller stages and holds every rank, then fails, and a successor has a newer
+    claim.  The successor must finish or undo the change, so that all ranks step on the
+    same map.
     """
 
     async def scenario(bench):
@@ -75,14 +75,14 @@
         assert len(versions(bench)) == 1
         assert bench.group._counts["mixed_steps"] == 0
 
-    run_bench(scenario, hold_limit_s=60.0, **AT_ONCE)
+    run_bench(scenario, hold_limit_s=60.0, **NO_PENDING_ORDERS)
 
 
 def test_hold_of_a_dead_controller_lapses():
-    """Ranks that were held and never told to switch go on by themselves.
+    """Guards against a group that stays held during an outage of the log.
 
-    Symptom: the group stands still while the log is down.  Events: the controller dies
-    behind the hold and nobody can claim.  Cause: a hold without a limit.
+    The controller fails after the hold, and no process can claim the group.  Ranks that
+    are held and not switched must be released after the hold limit.
     """
 
     async def scenario(bench):
@@ -101,14 +101,14 @@
             await curio.sleep(0.01)
         assert versions(bench) == {0}
 
-    run_bench(scenario, hold_limit_s=0.05, **AT_ONCE)
+    run_bench(scenario, hold_limit_s=0.05, **NO_PENDING_ORDERS)
 
 
 def test_lost_answer_to_a_switch_is_made_up_for():
-    """A rank whose answer got lost after it switched ends on the same map.
+    """Guards against a rank that stays held or on another map after a lost answer.
 
-    Symptom: a rank stays held, or on another map.  Events: every rank switches; one
-    answer is lost.  Cause: taking silence for a refusal.
+    Every rank switches, and one answer is lost.  A missing answer must not count as a
+    refusal.
     """
 
     async def scenario(bench):
@@ -130,14 +130,14 @@
         assert bench.group._counts["mixed_steps"] == 0
         assert bench.group._counts["steps"] == 1
 
-    run_bench(scenario, hold_limit_s=60.0, **AT_ONCE)
+    run_bench(scenario, hold_limit_s=60.0, **NO_PENDING_ORDERS)
 
 
 def test_rank_that_stalls_before_the_hold_leaves_the_map_as_it_was():
-    """A change that one rank can't be held for is given up; the others go on.
+    """Guards against ranks that stay held because one rank stalls.
 
-    Symptom: all ranks wait for one that stalls.  Events: every rank stages the map, one
-    stalls before it is held.  Cause: holding without a way back.
+    Every rank stages the map, and one rank stalls before the hold.  The change must be
+    cancelled and the other ranks released.
     """
 
     async def scenario(bench):
@@ -157,4 +157,4 @@
         assert versions(bench) == {0}
         stalled.stalled = False
 
-    run_bench(scenario, hold_limit_s=60.0, answer_wait_s=0.3, **AT_ONCE)
+    run_bench(scenario, hold_limit_s=60.0, answer_wait_s=0.3, **NO_PENDING_ORDERS)
--- a/siskinthread/experts/tests/test_map_change.py
+++ b/siskinthread/experts/tests/test_map_change.py
@@ -1,4 +1,4 @@
-"""Enumerated faults of a map change."""
+"""Tests of map changes under enumerated faults."""
 
 import pytest
 
@@ -18,13 +18,13 @@
 def test_no_step_on_mixed_maps_and_no_hold_for_ever(
     checks_fencing, pause_after, fault_limit
 ):
-    """With any faults, maps never mix and a later controller releases the group.
+    """Under any faults, maps never mix and a later controller releases the group.
 
-    Symptom: a step in which ranks use different maps, or a group that never steps
-    again.  Events: a controller pauses after any broadcast and wakes during or after
-    its successor's own change; besides, every one or pair out of lost and late orders,
-    lost answers, orders late at the engine, agents replaced and holds that lapse.
-    Cause: a rule of `RankGate` or `MapChange` left out.
+    Guards against a step in which ranks use different maps, and a group that never
+    steps again.  A controller pauses after any broadcast and resumes during or after
+    its successor's own change.  In addition, there is every single fault or pair of
+    faults out of lost and delayed orders, lost answers, delays at the engine, replaced
+    agents and expired holds.
     """
     run = change_with_successor(checks_fencing, pause_after)
     assert explore(run, fault_limit) > 50
@@ -33,10 +33,10 @@
 @pytest.mark.parametrize("checks_fencing", [True, False])
 @pytest.mark.parametrize("pause_after", [1, 2, 3])
 def test_hold_lapses_when_the_controller_dies(checks_fencing, pause_after):
-    """A group that no rank of which has switched steps again without a controller.
+    """Guards against a group that stays held during an outage of the log.
 
-    Symptom: the group stands still as long as the log is down.  Events: the controller
-    dies behind the hold, nobody can claim the group.  Cause: a hold without deadline.
+    The controller fails after the hold, and no process can claim the group.  Unless a
+    rank has switched, the holds must expire and the group must step again.
     """
     run = change_without_successor(checks_fencing, pause_after)
     assert explore(run, FAULT_LIMIT) > 50
--- a/siskinthread/experts/tests/test_planner.py
+++ b/siskinthread/experts/tests/test_planner.py
@@ -34,20 +34,20 @@
 
 
 def test_golden_planning_session():
-    """A seeded session of plans equals the committed one, step by step."""
+    """A seeded series of plans equals the golden file."""
     random = np.random.default_rng(11)
     planner = Planner(PlannerSettings(), Objective(1.0, 1.0, [(0, 60)]))
     expert_map = ExpertMap.in_turn(RANKS, SLOTS, EXPERTS)
     estimates = Estimates(EXPERTS, RANKS, PlannerSettings())
-    tastes = random.normal(0, 1, EXPERTS)
-    lines = []
+    log_loads = random.normal(0, 1, EXPERTS)
+    plans = []
     for interval in range(24):
-        tastes += random.normal(0, 0.1, EXPERTS)
-        loads = np.round(1000 * np.exp(tastes))
+        log_loads += random.normal(0, 0.1, EXPERTS)
+        loads = np.round(1000 * np.exp(log_loads))
         estimates.observe(expert_map, loads, expert_map.rank_loads(loads))
         plan = planner.plan(expert_map, estimates, interval * 15)
         expert_map = plan.expert_map
-        lines.append(
+        plans.append(
             {
                 "verdict": plan.verdict.value,
                 "moves": plan.moves,
@@ -57,11 +57,11 @@
                 "slots": expert_map.slots.tolist(),
             }
         )
-    assert lines == json.loads(GOLDEN_PATH.read_text())
+    assert plans == json.loads(GOLDEN_PATH.read_text())
 
 
 def test_no_move_within_a_quiet_window():
-    """A quiet window holds back every move, also one that passes midnight."""
+    """No move is planned in a quiet window that spans midnight."""
     expert_map, estimates = make_estimates(skewed_loads())
     planner = Planner(PlannerSettings(), Objective(1.0, 1.0, [(1380, 120)]))
     for minute in (1380, 1439, 0, 119):
@@ -71,11 +71,10 @@
 
 
 def test_noise_moves_nothing():
-    """A difference smaller than the least gain moves no expert.
+    """Guards against moving experts back and forth in an evenly loaded group.
 
-    Symptom: experts went to and fro each interval on an evenly loaded group.  Events:
-    each report differs a little from the last one; the peak rank changes; the planner
-    relieves it.  Cause: any gain above zero was acted upon.
+    Reports differ a little from interval to interval, so that the slowest rank changes.
+    A gain below ``least_gain`` must cause no move.
     """
     random = np.random.default_rng(2)
     planner = Planner(PlannerSettings(), Objective())
@@ -89,11 +88,10 @@
 
 
 def test_slow_rank_is_given_less_load_and_popular_expert_more_replicas():
-    """A rank that is slow at equal load sheds load; a busy but sound one is not slow.
+    """Guards against moving experts away from a rank that is busy but not slow.
 
-    Symptom: a rank with a popular expert lost experts that it served well.  Events: its
-    step time rises with the expert's popularity.  Cause: step time was taken for speed
-    without dividing by the load.
+    The step time of a rank increases with the popularity of its experts.  Slowness must
+    be normalized by load; a rank that is slow at equal load must get less load.
     """
     slowness = np.ones(RANKS)
     slowness[5] = 1.6
@@ -108,7 +106,7 @@
 
 
 def test_lost_reports_leave_the_estimate_as_it_was():
-    """A missing report neither zeroes an expert's load nor marks a rank as slow."""
+    """Missing reports neither reset the load of experts nor mark ranks as slow."""
     loads = skewed_loads()
     expert_map, estimates = make_estimates(loads)
     lost = np.full(EXPERTS, np.nan)
@@ -118,7 +116,7 @@
 
 
 def test_moves_stay_within_the_weight_store_budget():
-    """Plans in a row never move more experts than the saved and the steady budget."""
+    """Successive plans stay within the accumulated and the steady budget of moves."""
     settings = PlannerSettings(moves_per_interval=0.5, moves_burst=1.0)
     planner = Planner(settings, Objective())
     expert_map, estimates = make_estimates(skewed_loads())
--- a/siskinthread/experts/tests/test_report.py
+++ b/siskinthread/experts/tests/test_report.py
@@ -1,4 +1,4 @@
-"""The operators' view of expert maps, from the controllers to the report."""
+"""Tests of the report on expert maps, from the controllers to the output."""
 
 import json
 from pathlib import Path
@@ -10,7 +10,7 @@
 from siskinthread.control.tests.nodes import AgentNode, NodeSettings
 from siskinthread.control.tests.test_status import host_list
 from siskinthread.daemons._experts_status import group_status, no_group_status
-from siskinthread.experts import ChangeResult, Hindrance, Verdict
+from siskinthread.experts import ChangeResult, SkipReason, Verdict
 from siskinthread.experts._report import ExpertsReport
 from siskinthread.experts.operators import survey_agents
 from siskinthread.experts.tests.group_bench import GROUP, run_bench
@@ -20,7 +20,7 @@
 
 GOLDEN = Path(__file__).parent / "golden"
 LOOPBACK = "127.0.0.1"
-AT_ONCE = {"order_limit_s": 0.0}
+NO_PENDING_ORDERS = {"order_limit_s": 0.0}
 SLOTS = ExpertSlots(slots_per_rank=2, expert_count=3, experts=[0, 1, 2, 0])
 STATE = {
     "version": 9 << 20,
@@ -36,30 +36,30 @@
 
 
 def answer(host, fencing=None, controls=False, group=GROUP, **state):
-    """Return an agent's answer."""
+    """Return the answer of an agent."""
     status = ExpertsStatus(group, host, controls, fencing, **state)
     return HostAnswer(HostEntry(host, "agent", LOOPBACK, 1, "d1", False), status)
 
 
 def silent(host, leaving=False):
-    """Return what stands for an agent that did not answer."""
+    """Return the `HostAnswer` of an agent that did not answer."""
     entry = HostEntry(host, "agent", LOOPBACK, 1, "d1", leaving)
     return HostAnswer(entry, problem="no answer in time")
 
 
-ONE = answer("a1", 9, True, **STATE)
-OLDER = answer("a2", 7, True, **STATE | {"verdict": "balanced"})
+CONTROLLER = answer("a1", 9, True, **STATE)
+SUPERSEDED_CONTROLLER = answer("a2", 7, True, **STATE | {"verdict": "balanced"})
 FOLLOWER = answer("a3", 9)
 UNAWARE = answer("a4", None)
 
 
 @pytest.mark.parametrize("name, as_json", [("txt", False), ("json", True)])
 def test_report_is_the_golden_one(name, as_json):
-    """Two claimants, a group without controller, no rank and silence are all told."""
+    """The report covers two claimants, a group without controller and silent agents."""
     report = ExpertsReport(
         [
-            OLDER,
-            ONE,
+            SUPERSEDED_CONTROLLER,
+            CONTROLLER,
             FOLLOWER,
             answer("b1", 4, group="verdicts"),
             answer("c1", group=""),
@@ -72,30 +72,29 @@
 
 
 def test_exit_codes_tell_lost_groups_from_silent_agents():
-    """Each state of the groups has the exit code that the help states."""
+    """Each state of the groups has its documented exit code."""
     held = answer("a1", 9, True, **STATE | {"verdict": "recovery_unfinished"})
     cases = [
-        (0, [ONE, FOLLOWER, answer("c1", group="")]),
-        (0, [ONE, silent("c3", leaving=True)]),
-        (3, [ONE, OLDER]),
+        (0, [CONTROLLER, FOLLOWER, answer("c1", group="")]),
+        (0, [CONTROLLER, silent("c3", leaving=True)]),
+        (3, [CONTROLLER, SUPERSEDED_CONTROLLER]),
         (3, [FOLLOWER, UNAWARE]),
         (3, [UNAWARE]),
         (3, [held]),
         (3, [answer("c1", group=""), silent("c2")]),
-        (4, [ONE, silent("c2")]),
+        (4, [CONTROLLER, silent("c2")]),
     ]
     codes = [ExpertsReport(answers, GROUP).exit_code for _, answers in cases]
     assert codes == [code for code, _ in cases]
 
 
 def test_controller_that_was_overtaken_is_not_shown_as_in_force():
-    """Symptom: an operator trusts the state of a controller that was replaced.
+    """Guards against showing the state of a superseded controller as current.
 
-    Events: a controller is cut off from the log; its successor is silent, but a third
-    agent knows of the newer claim.  Cause: taking the highest claimant that answered
-    for the one in force.
+    A controller has no connection to the log.  Its successor does not answer, but a
+    third agent knows of the newer claim.
     """
-    report = ExpertsReport([OLDER, FOLLOWER])
+    report = ExpertsReport([SUPERSEDED_CONTROLLER, FOLLOWER])
     assert report.groups[0].in_force is None
     text = report.render(as_json=False)
     assert "controller a2, fencing number 7, superseded" in text
@@ -105,8 +104,8 @@
 
 
 def test_every_reason_of_a_controller_has_words():
-    """No verdict is shown as the bare word of the code; unknown ones are passed on."""
-    for verdict in [*Verdict, *Hindrance]:
+    """Every known verdict is shown as a text, an unknown verdict as received."""
+    for verdict in [*Verdict, *SkipReason]:
         text = ExpertsReport([answer("a1", 9, True, verdict=verdict)]).render(False)
         assert f"last verdict: {verdict}\n" not in text
     text = ExpertsReport([answer("a1", 9, True, verdict="newer_word")]).render(False)
@@ -114,10 +113,10 @@
 
 
 class Owned(AgentNode):
-    """An agent that answers for the group as if it had the given claim."""
+    """An agent that reports a given owner of the group."""
 
     def own(self, owner, controller):
-        """Answer from now on."""
+        """Answer queries with an owner and the state of a controller."""
 
         def answer_experts(question):
             if question.group not in ("", GROUP):
@@ -132,10 +131,10 @@
 
 
 def test_agents_are_asked_and_a_silent_one_delays_no_other():
-    """What controllers hold arrives over loopback; silence is named as such.
+    """The state of controllers arrives over loopback, and a silent agent is reported.
 
-    Two agents take themselves for the controller, as when one was paused past its
-    suspicion; a third takes connections and never answers.
+    Two agents act as the controller, as after a pause in which the first was suspected.
+    Another agent accepts connections and never answers.
     """
 
     async def scenario(bench):
@@ -148,16 +147,16 @@
         nodes[0].own(owner_of(nodes[0], 7), first)
         nodes[1].own(owner_of(nodes[1], 9), second)
         nodes[2].server.answer_experts = lambda question: no_group_status("a3")
-        mute = AgentNode("a4", None, settings)
-        async with host_list([*nodes, mute]) as address:
+        silent_node = AgentNode("a4", None, settings)
+        async with host_list([*nodes, silent_node]) as address:
             tasks = [
                 await curio.spawn(node.server.run, node._listening) for node in nodes
             ]
-            where = StatusSettings(
+            status_settings = StatusSettings(
                 host_list=address, peers=settings.peers, answer_wait_s=1.0
             )
-            answers = await survey_agents(where)
-            others = await survey_agents(where, "another")
+            answers = await survey_agents(status_settings)
+            other_answers = await survey_agents(status_settings, "another")
             for task in tasks:
                 await task.cancel()
         report = ExpertsReport(answers)
@@ -168,17 +167,17 @@
         assert group.claimants[1].result == ChangeResult.CHANGED
         shown = json.loads(report.render(as_json=True, with_map=True))
         assert shown["groups"][0]["state"]["ranks"] == second.expert_map.slots.tolist()
-        assert [one["host"] for one in shown["no_answer"]] == ["a4"]
-        assert not ExpertsReport(others, "another").groups
+        assert [entry["host"] for entry in shown["no_answer"]] == ["a4"]
+        assert not ExpertsReport(other_answers, "another").groups
 
-    run_bench(scenario, **AT_ONCE)
+    run_bench(scenario, **NO_PENDING_ORDERS)
 
 
 def test_unfinished_change_is_pending_until_recovered():
-    """Moves of a change that a rank did not confirm stay pending, then are done.
+    """Guards against showing no pending move while the group is held.
 
-    Symptom: an operator sees no pending move while the group stands held.  Events: a
-    rank answers no switch; the next round recovers.
+    A rank does not confirm the switch, and the next round recovers.  The moves must
+    stay pending until then.
     """
 
     async def scenario(bench):
@@ -204,11 +203,11 @@
         assert controller.expert_map.version >= 7 << 20
         assert controller.pending_moves == 0
 
-    run_bench(scenario, **AT_ONCE)
+    run_bench(scenario, **NO_PENDING_ORDERS)
 
 
 def test_host_that_lost_the_group_tells_nothing_of_its_past():
-    """Only a claimant shows a state, and a controller that has none yet says so."""
+    """Only a claimant reports a state, and a new controller reports none."""
 
     async def scenario(bench):
         controller = await bench.controller(fencing=7, quiet=True)
@@ -224,4 +223,4 @@
         assert (lost.controls, lost.fencing) == (False, 9)
         assert (lost.verdict, lost.version, lost.skew) == (None, None, None)
 
-    run_bench(scenario, **AT_ONCE)
+    run_bench(scenario, **NO_PENDING_ORDERS)
--- a/siskinthread/experts/tests/test_search.py
+++ b/siskinthread/experts/tests/test_search.py
@@ -1,4 +1,4 @@
-"""Differential test of the search against trying every step."""
+"""Differential tests of the search against a naive search."""
 
 import numpy as np
 import pytest
@@ -6,12 +6,12 @@
 from siskinthread.experts import ExpertMap, recompute_map, Search
 from siskinthread.experts.tests._naive import naive_best_peak
 
-LEAST_RELIEF = 0.995
+MAX_PEAK_RATIO = 0.995
 
 
 @pytest.mark.parametrize("seed", range(60))
 def test_step_is_the_best_of_all_single_steps(seed):
-    """A step's promised peak is the least that trying every step finds."""
+    """The peak bound of a step is the smallest peak that the naive search finds."""
     random = np.random.default_rng(seed)
     expert_map = ExpertMap.in_turn(6, 2, 8)
     if seed % 2:
@@ -22,14 +22,14 @@
     search = Search(expert_map, loads, slowness, swap_penalty=0.1)
     before = search.rank_times().max()
     step = search.step()
-    if naive >= before * LEAST_RELIEF:
+    if naive >= before * MAX_PEAK_RATIO:
         assert step is None
     else:
-        assert step.promised_peak == pytest.approx(naive)
+        assert step.peak_bound == pytest.approx(naive)
 
 
 def test_every_expert_keeps_a_slot():
-    """However long the search goes on, no expert loses its last replica."""
+    """No expert loses its last replica in a long search."""
     random = np.random.default_rng(5)
     expert_map = ExpertMap.in_turn(16, 2, 24)
     loads = np.exp(random.normal(0, 2, 24))
--- a/siskinthread/ownership/tests/_explorer.py
+++ b/siskinthread/ownership/tests/_explorer.py
@@ -177,7 +177,7 @@
         version = group.engines[0].version
         result = run_to_end(successor.change(version, LAST_VERSION, None))
         group.paused = None
-        first.wake(-1)
+        first.resume(-1)
         if result is ChangeResult.CHANGED:
             versions = {engine.version for engine in group.engines}
             assert versions == {LAST_VERSION}, f"the change was undone: {versions}"
@@ -187,7 +187,7 @@
         owner = candidates.check()
         group.check()
         assert candidates.first.confirm() is None or owner.host == FIRST
-        group.end_soundly()
+        group.end_without_faults()
 
     return run
 
