--- a/siskinthread/group_maps/__init__.py
+++ b/siskinthread/group_maps/__init__.py
@@ -1,18 +1,19 @@
-"""Expert maps of groups whose ranks take orders over HTTP.
+"""Control of the expert maps of groups whose ranks accept orders over HTTP.
 
-Interface: ``GroupDirectory(build_client, settings)`` learns which targets are ranks of
-which groups; ``GroupDuty(directory, shares, find_layout, progress, settings, clock,
-measures, random)`` with ``async run()`` controls those that fall to this process, and
-relieves others that stand still.  ``OutageWatch(directory, controlled, home, settings,
-clock, random)`` with ``async run()`` asks broken groups until they are open.  How a map
-changes without a mixed pass stands in `MapChange`.
+Interface: ``GroupDirectory(build_client, settings, clock)`` finds out which targets are
+ranks of which groups.  ``GroupManager(directory, shares, find_layout, home, settings,
+clock, measures, random)`` with ``async run()`` controls the groups whose shares this
+process holds, and recovers stalled groups of other controllers.
+``OutageWatch(directory, controlled, home, settings, clock, random)`` with ``async
+run()`` polls broken groups until they are open.  `MapChange` describes how a map is
+changed without a mixed pass.
 """
 
 from siskinthread.group_maps._change import ChangeResult, MapChange, planned_version
 from siskinthread.group_maps._controller import GroupController
 from siskinthread.group_maps._demand import Demand
 from siskinthread.group_maps._directory import GroupDirectory, RankPlace
-from siskinthread.group_maps._duty import GroupDuty, Shares
+from siskinthread.group_maps._group_state import GroupMemory
 from siskinthread.group_maps._layout import (
     ExpertLayout,
     GroupMap,
@@ -20,9 +21,8 @@
     rank_loads,
     relative_pass_time,
 )
-from siskinthread.group_maps._look_times import LookCause, LookTimes
+from siskinthread.group_maps._manager import GroupDuty, Shares
 from siskinthread.group_maps._measures import MapMeasures
-from siskinthread.group_maps._memory import GroupMemory
 from siskinthread.group_maps._orders import (
     Arm,
     ArmedMap,
@@ -40,6 +40,7 @@
 from siskinthread.group_maps._passes import PassEstimate
 from siskinthread.group_maps._planner import Plan, plan_changes, search_plans
 from siskinthread.group_maps._ranks import GroupRanks
+from siskinthread.group_maps._sample_schedule import SampleCause, SampleSchedule
 from siskinthread.group_maps._settings import GroupMapSettings
 from siskinthread.group_maps._sizing import choose_plan
 
@@ -59,8 +60,8 @@
     "GroupRanks",
     "HeldExperts",
     "Hold",
-    "LookCause",
-    "LookTimes",
+    "SampleCause",
+    "SampleSchedule",
     "MapChange",
     "MapMeasures",
     "OrderResult",
--- a/siskinthread/group_maps/_demand.py
+++ b/siskinthread/group_maps/_demand.py
@@ -1,21 +1,22 @@
-"""Which experts are in demand, from counts of a few ranks."""
+"""Estimate of the demand for experts, from counts of a few ranks."""
 
 
 class Demand:
     """Estimate of the load of each expert.
 
-    Ranks count from their start, so that two looks at one rank give what was chosen
-    between them.
+    Ranks count from their start, so the difference of two samples of a rank is what was
+    selected between them.
 
     Parameters
     ----------
     settings : GroupMapSettings
-        Smoothing.
+        Weight of the newest sample.
 
     Attributes
     ----------
     loads_by_set : list of list of float, or None
-        Load of each expert, 1 in sum for each set; None before the second look.
+        Load of each expert, normalized to a sum of 1 in each set; None before the
+        second sample.
     """
 
     __slots__ = ("_last", "_settings", "loads_by_set")
@@ -26,11 +27,11 @@
         self.loads_by_set = None
 
     def restart(self):
-        """Forget the estimate; the next look shows the demand from the last one on."""
+        """Drop the estimate; the next sample covers the time since the last one."""
         self.loads_by_set = None
 
     def note(self, counts_by_rank):
-        """Take the `RankCounts` of one look, by rank."""
+        """Add a sample, given as a dict of `RankCounts` by rank."""
         changes = []
         for rank, counts in counts_by_rank.items():
             last = self._last.get(rank)
@@ -41,7 +42,7 @@
             return
         newest = [_shares(one_set) for one_set in zip(*changes, strict=True)]
         if any(one_set is None for one_set in newest):
-            # Nothing was chosen: an idle group tells nothing of the demand.
+            # No expert was selected: an idle group says nothing about the demand.
             return
         self.loads_by_set = self._smoothed(newest)
 
@@ -66,7 +67,7 @@
 
 
 def _shares(changes_of_ranks):
-    """Return each expert's part of one set, over several ranks; None without any."""
+    """Return each expert's share of one set over several ranks; None if all are 0."""
     sums = [max(0, sum(one)) for one in zip(*changes_of_ranks, strict=True)]
     total = sum(sums)
     return [one / total for one in sums] if total else None
--- a/siskinthread/group_maps/_directory.py
+++ b/siskinthread/group_maps/_directory.py
@@ -1,4 +1,4 @@
-"""Which targets are ranks of which groups."""
+"""Directory of the targets that are ranks of groups."""
 
 import curio
 
@@ -8,20 +8,20 @@
 
 _logger = part_logger("group_maps")
 
-# Ranks that are asked for their place at once.  One after the other, 39 that are cut
-# off took 4 s, and the others waited for it.
-ASKED_AT_ONCE = 16
+# Number of ranks that are queried concurrently. Sequential queries to 39 ranks that
+# were cut off took 4 s, and delayed the others.
+CONCURRENT_QUERIES = 16
 
 
 class RankPlace:
-    """Where a target stands in its group.
+    """Position of a target in its group.
 
     Parameters
     ----------
     group_name : str
         Name of the group.
     rank, size : int
-        Its number, and the number of ranks.
+        Number of the rank, and number of ranks of the group.
     """
 
     __slots__ = ("group_name", "rank", "size")
@@ -38,18 +38,18 @@
     Parameters
     ----------
     build_client : callable
-        Takes a target entry and returns its rank's client.
+        Takes a target entry and returns the client of its rank.
     settings : GroupMapSettings
-        Waits.
+        Timeouts and retention times.
     clock : siskinthread.timing.Clock
-        Clock of the waits.
+        Clock for the waits.
 
     Notes
     -----
-    A rank whose entry has lapsed is remembered for a while.  Its group forms anew with
-    the first map as soon as the rank is back, and its entry is listed again up to 3 s
-    later; nobody would look after the group meanwhile, while its passes take three
-    times as long.
+    A rank whose entry has lapsed is remembered for a while.  Its group re-forms with
+    the first map as soon as the rank is back, but the entry is listed again only up to
+    3 s later.  Without the memory, nobody would control the group meanwhile, while its
+    passes take three times as long.
     """
 
     __slots__ = (
@@ -69,52 +69,52 @@
         self._clock = clock
         self._addresses = {}
         self._domains = {}
-        # Until when ranks that are not listed any more are remembered.
+        # Deadlines until which ranks that are no longer listed are remembered.
         self._lost = {}
         self._places = {}
         self._clients = {}
 
     async def refresh(self, entries, may_ask=True):
-        """Ask targets that are new for their place, and drop those that are gone.
+        """Query new targets for their place, and drop targets that are gone.
 
         Parameters
         ----------
         entries : list of siskinthread.gateway.TargetEntry
-            All model engines that are listed.
+            All listed model engines.
         may_ask : bool
-            Whether to ask them now; a peer may have their places.
+            Whether to query targets now; a peer may know their places.
 
         Returns
         -------
         bool
-            Whether there are any, and the place of each is known.
+            Whether there are entries and the place of each is known.
         """
         known = {entry.instance_id for entry in entries}
         self._note_lost(known)
         self._forget_replaced(entries)
         new = self.unknown(entries) if may_ask else []
-        for start in range(0, len(new), ASKED_AT_ONCE):
-            asked = new[start : start + ASKED_AT_ONCE]
+        for start in range(0, len(new), CONCURRENT_QUERIES):
+            queried = new[start : start + CONCURRENT_QUERIES]
             tasks = [
-                await curio.spawn(self._ask, entry, daemon=True) for entry in asked
+                await curio.spawn(self._query, entry, daemon=True) for entry in queried
             ]
             for task in tasks:
                 await task.join()
         return bool(entries) and known <= set(self._places)
 
     def unknown(self, entries):
-        """Return those of some entries whose place is not known."""
+        """Return the entries whose place is not known."""
         return [entry for entry in entries if entry.instance_id not in self._places]
 
     def places(self):
-        """Return the `RankPlace` of each rank that is known, by instance id."""
+        """Return the `RankPlace` of each known rank, by instance id."""
         return dict(self._places)
 
     def learn(self, entries, places):
-        """Take the places of some entries from what a peer knows.
+        """Add the places of some entries that a peer knows.
 
-        Symptom without this: each of 99 entries asked each of 192 ranks after its
-        start, 19,000 questions that are paid for.
+        Without this, each of 99 entries would query each of 192 ranks after its start:
+        19,000 queries that are charged for.
         """
         for entry in entries:
             if entry.instance_id in places:
@@ -132,7 +132,7 @@
                 self._forget(instance_id)
 
     def _forget_replaced(self, entries):
-        """Forget lost ranks whose address belongs to another instance by now."""
+        """Forget lost ranks whose address now belongs to another instance."""
         holders = {(entry.host, entry.port): entry.instance_id for entry in entries}
         for instance_id in list(self._lost):
             holder = holders.get(self._addresses.get(instance_id), instance_id)
@@ -146,20 +146,20 @@
         self._places.pop(instance_id, None)
         self._lost.pop(instance_id, None)
 
-    async def _ask(self, entry):
+    async def _query(self, entry):
         client = self._note_client(entry)
         try:
             report = await client.report(self._settings.order_wait_s)
         except TargetError as error:
             _logger.event(
-                "rank is not known", target=entry.instance_id, reason=str(error)
+                "place of rank is unknown", target=entry.instance_id, reason=str(error)
             )
             return
         place = RankPlace(report.group_name, report.rank, report.size)
         self._put(entry.instance_id, place)
 
     def _note_client(self, entry):
-        """Return the client of an entry's rank, built at first."""
+        """Return the client of an entry's rank, building it on first use."""
         client = self._clients.get(entry.instance_id)
         if client is None:
             client = self._clients[entry.instance_id] = self._build_client(entry)
@@ -168,7 +168,7 @@
         return client
 
     def _put(self, instance_id, place):
-        """Note a place; the lost rank that had it is replaced."""
+        """Record a place, and forget a lost rank that had the same place."""
         for lost_id in list(self._lost):
             other = self._places[lost_id]
             if (other.group_name, other.rank) == (place.group_name, place.rank):
@@ -181,7 +181,7 @@
         return None if place is None else place.group_name
 
     def domains_of(self, instance_ids):
-        """Return the failure domain of each of some targets."""
+        """Return the failure domain of each given target."""
         return [self._domains[one] for one in instance_ids]
 
     def has_ranks(self):
@@ -189,7 +189,7 @@
         return bool(self._places)
 
     def clients_of(self, group_name):
-        """Return the clients of the known ranks of a group by instance id."""
+        """Return the clients of the known ranks of a group, by instance id."""
         return {
             instance_id: self._clients[instance_id]
             for instance_id, place in self._places.items()
@@ -202,7 +202,7 @@
         Returns
         -------
         dict of str to dict of str to object
-            By group, the clients by instance id in the order of their ranks.
+            By group name, the clients by instance id, in rank order.
         """
         by_group = {}
         for instance_id, place in self._places.items():
--- a/siskinthread/group_maps/_memory.py
+++ b/siskinthread/group_maps/_group_state.py
@@ -1,28 +1,29 @@
-"""What is known of a group beyond the time of one controller."""
+"""State of a group that outlives its controller."""
 
 from siskinthread.group_maps._demand import Demand
 
 
 class GroupMemory:
-    """What the next controller of a group in this process needs from the last one.
+    """State that a controller of a group passes on to the next one in this process.
 
-    A controller ends when a rank is replaced or a share moves.  Without this, the next
-    one had to count the demand first, and chose versions of maps below those that some
-    ranks had already heard of, which they refuse: 0.6 s after a crash were lost so.
+    A controller ends when a rank is replaced or a share moves.  Without this state, the
+    next controller had to sample the demand first, and chose map versions below
+    versions that some ranks had already received, which they refuse.  This cost 0.6 s
+    after a crash.
 
     Parameters
     ----------
     settings : GroupMapSettings
-        Smoothing of the demand.
+        Smoothing of the demand estimate.
 
     Attributes
     ----------
     demand : Demand
-        What is known of the demand.
+        Estimate of the demand.
     version_floor : int
-        No version up to this one may be given to a map.
+        Highest version that must not be used for a map any more.
     epoch : int or None
-        Epoch that the group was last seen in.
+        Last known epoch of the group.
     """
 
     __slots__ = ("demand", "epoch", "version_floor")
@@ -33,7 +34,7 @@
         self.epoch = None
 
     def note_epoch(self, epoch):
-        """Note the epoch of the group; return whether it has re-formed since."""
+        """Record the epoch of the group; return whether it has re-formed since."""
         has_reformed = self.epoch not in (None, epoch)
         self.epoch = epoch
         return has_reformed
--- a/siskinthread/group_maps/_layout.py
+++ b/siskinthread/group_maps/_layout.py
@@ -1,4 +1,4 @@
-"""Which rank of a group holds which experts, and how even that makes their work."""
+"""Expert maps: which rank holds which experts, and how even its load is."""
 
 import math
 
@@ -6,16 +6,16 @@
 
 
 class PassModel:
-    """What the time of a pass of evenly loaded ranks is made of.
+    """Model of the time of a pass with evenly loaded ranks.
 
     Parameters
     ----------
     expert_share : float
-        Part of the work for a token that its experts do.
+        Fraction of the work for a token that is done by experts.
     fixed_s : float
         Time of a pass without requests, seconds.
     request_s : float
-        Time that each request of a rank adds, seconds.
+        Additional time for each request of a rank, seconds.
     """
 
     __slots__ = ("expert_share", "fixed_s", "request_s")
@@ -36,22 +36,22 @@
     Parameters
     ----------
     set_count : int
-        Sets of layers that have experts of their own.
+        Number of layer sets; each has its own experts.
     expert_count : int
-        Experts of a set.
+        Number of experts of a set.
     place_count : int
-        Most experts that a rank holds of a set.
+        Largest number of experts of a set that a rank holds.
     spare_count : int
-        Most experts of a set that one change may bring to a rank.
+        Largest number of experts of a set that one change may add to a rank.
     model : PassModel
-        Time of a pass.
+        Model of the pass time.
     copy_s : float
-        Time that a rank takes to copy one expert, seconds.
+        Time of a rank to copy one expert, seconds.
     report_lag_s : float
-        Age of what a rank reports, seconds.
+        Age of a rank's report when it is received, seconds.
     pass_limit_s : float
-        Longest pass with which streams are in time, seconds; infinite if none have to
-        be.
+        Longest pass with which streams are in time, seconds; infinite if there is no
+        limit.
     """
 
     __slots__ = (
@@ -92,14 +92,15 @@
     Parameters
     ----------
     version : int
-        Rises with each change.
+        Version of the map; increases with each change.
     holdings : list of list of tuple of int
-        Experts by set and rank.
+        Experts, indexed by set and rank.
 
     Raises
     ------
     InvariantError
-        If an expert is on no rank: tokens that choose it would have nowhere to go.
+        If an expert is on no rank: tokens that select the expert could not be
+        processed.
     """
 
     __slots__ = ("holdings", "version")
@@ -113,7 +114,7 @@
                 raise InvariantError("an expert map must hold every expert, no other")
 
     def new_experts(self, other):
-        """Return how many experts each rank must copy to get to another map."""
+        """Return how many experts each rank must copy to switch to another map."""
         added = [0] * len(self.holdings[0])
         for own_ranks, other_ranks in zip(self.holdings, other.holdings, strict=True):
             for rank, experts in enumerate(other_ranks):
@@ -129,7 +130,7 @@
     ranks : list of collection of int
         Experts of each rank.
     loads : list of float
-        Load of each expert; the ranks that hold it share it evenly.
+        Load of each expert, shared evenly by the ranks that hold the expert.
     """
     replicas = replica_counts(ranks, len(loads))
     return [sum(loads[one] / replicas[one] for one in experts) for experts in ranks]
@@ -144,33 +145,37 @@
     return counts
 
 
-def relative_pass_time(holdings, loads_by_set, expert_share, slowness, own_work=None):
-    """Return the time of a pass relative to evenly loaded ranks of the usual speed.
+def relative_pass_time(
+    holdings, loads_by_set, expert_share, slowness, non_expert_work=None
+):
+    """Return the time of a pass relative to evenly loaded ranks of normal speed.
 
-    Set by set the group waits for the rank that takes longest.
+    In each set, the group waits for the slowest rank.
 
     Parameters
     ----------
     holdings : list of list of collection of int
-        Experts by set and rank.
+        Experts, indexed by set and rank.
     loads_by_set : list of list of float
-        Load of each expert by set.
+        Load of each expert, indexed by set.
     expert_share : float
-        Part of the work that experts do.
+        Fraction of the work that is done by experts.
     slowness : list of float
-        Time of each rank for the same work, relative to the usual.
-    own_work : list of float, optional
-        Work that each rank does beside that of experts, relative to the mean of all; 1
-        for each without it.
+        Time of each rank for the same work, relative to normal speed.
+    non_expert_work : list of float, optional
+        Non-expert work of each rank, relative to the mean of all ranks; 1 for each rank
+        by default.
     """
-    if own_work is None:
-        own_work = [1.0] * len(slowness)
+    if non_expert_work is None:
+        non_expert_work = [1.0] * len(slowness)
     ratios = []
     for ranks, loads in zip(holdings, loads_by_set, strict=True):
         by_rank = rank_loads(ranks, loads)
         mean = sum(by_rank) / len(by_rank)
         slowest = max(load * slow for load, slow in zip(by_rank, slowness, strict=True))
         ratios.append(slowest / mean if mean else 1.0)
-    slowest = max(work * slow for work, slow in zip(own_work, slowness, strict=True))
-    own = (1 - expert_share) * slowest
-    return own + expert_share * sum(ratios) / len(ratios)
+    slowest = max(
+        work * slow for work, slow in zip(non_expert_work, slowness, strict=True)
+    )
+    non_expert = (1 - expert_share) * slowest
+    return non_expert + expert_share * sum(ratios) / len(ratios)
--- a/siskinthread/group_maps/_measures.py
+++ b/siskinthread/group_maps/_measures.py
@@ -1,6 +1,7 @@
-"""Metrics of the control of expert maps."""
+"""Metrics of expert map control."""
 
-# From a rank next to this host to `order_wait_s`, and to the time for a large order.
+# From a rank close to this host up to `order_wait_s`, and on to the time that a large
+# order takes.
 RESPONSE_BUCKETS_S = (0.002, 0.005, 0.01, 0.02, 0.03, 0.05, 0.1, 0.2, 0.5, 1.0)
 
 
@@ -10,10 +11,10 @@
     Parameters
     ----------
     metrics : siskinthread.observability.Metrics
-        The registry.
+        Registry of the metrics.
     """
 
-    __slots__ = ("_changes", "_pass_time", "_repeats", "_response_time")
+    __slots__ = ("_changes", "_pass_time", "_retries", "_response_time")
 
     def __init__(self, metrics):
         self._changes = metrics.counter(
@@ -24,7 +25,7 @@
             "Predicted time of a pass relative to evenly loaded ranks, by group.",
             ("group",),
         )
-        self._repeats = metrics.counter(
+        self._retries = metrics.counter(
             "group_order_repeats",
             "Orders to ranks that were sent again without a response, by order.",
             ("order",),
@@ -40,14 +41,14 @@
         self._changes.labels(result.value).inc()
 
     def relative_pass_time(self, group_name, value):
-        """Note how uneven the ranks of a group are loaded."""
+        """Set the predicted relative pass time of a group."""
         self._pass_time.labels(group_name).set(value)
 
-    def order_tried(self, order, is_repeat):
-        """Count a try of an order if it is a repeated one."""
-        if is_repeat:
-            self._repeats.labels(type(order).__name__.lower()).inc()
+    def note_attempt(self, order, is_retry):
+        """Count an attempt to send an order if it is a retry."""
+        if is_retry:
+            self._retries.labels(type(order).__name__.lower()).inc()
 
-    def order_answered(self, response_s):
-        """Note the response time of an order."""
+    def note_response(self, response_s):
+        """Record the response time of an order, seconds."""
         self._response_time.observe(response_s)
--- a/siskinthread/group_maps/_orders.py
+++ b/siskinthread/group_maps/_orders.py
@@ -1,40 +1,41 @@
-"""What a rank of a group reports, and the orders it takes."""
+"""Reports of a rank of a group, and the orders that a rank accepts."""
 
 import enum
 
 
 class RankReport:
-    """State of a rank, some hundred milliseconds old.
+    """State of a rank, some hundred milliseconds old when it is received.
 
     Parameters
     ----------
     group_name : str
-        Group that the rank belongs to.
+        Name of the rank's group.
     epoch : int
-        Rises each time the group forms anew, with the first map and no change.
+        Increases each time the group re-forms, which resets the map to the first one
+        and drops any change under way.
     rank : int
         Number of the rank.
     size : int
-        Ranks of the group.
+        Number of ranks of the group.
     is_open : bool
-        Whether the group runs.
+        Whether the group runs passes.
     pass_number : int
-        The pass that was begun last.
+        Number of the pass that was started last.
     map_version : int
         Version of the map in force.
     prepared_version : int or None
-        Version whose experts have been copied.
+        Version of the map whose experts the rank has copied; None without one.
     armed : ArmedMap or None
-        The change that is to come into force.
+        The map that the rank will switch to; None without one.
     held_pass : int or None
-        The pass that the group must not begin.
+        Number of the pass that the group must not start; None without a hold.
     running : int
-        Requests that the rank runs.
+        Number of requests that the rank runs.
     slowness : float
-        Time that the rank takes for the same work, relative to the usual.
+        Time of the rank for the same work, relative to a rank of normal speed.
     started_unix_ms : int or None
-        When the rank started; None if it does not say.  Epochs and versions begin anew
-        when all ranks have started anew.
+        Start time of the rank, Unix milliseconds; None if not reported.  Epochs and
+        versions restart from their first values when all ranks have restarted.
     """
 
     __slots__ = (
@@ -85,14 +86,14 @@
 
 
 class ArmedMap:
-    """A change that comes into force with a pass.
+    """A map that a rank switches to at the start of a pass.
 
     Parameters
     ----------
     version : int
         Version of the map.
     pass_number : int or None
-        The pass; None if the rank does not tell.
+        Number of the pass; None if the rank does not report it.
     """
 
     __slots__ = ("pass_number", "version")
@@ -103,18 +104,18 @@
 
 
 class RankCounts:
-    """How often a rank's requests have chosen each expert since it started.
+    """How often a rank's requests have selected each expert since the rank started.
 
     Parameters
     ----------
     epoch : int
         Epoch of the group.
     pass_number : int
-        The pass at which it was counted.
+        Number of the pass at which the counts were taken.
     counts_by_set : list of list of int
-        Counts by set and expert.
+        Counts, indexed by set and expert.
     started_unix_ms : int or None
-        When the rank started; None if it does not say.
+        Start time of the rank, Unix milliseconds; None if not reported.
     """
 
     __slots__ = ("counts_by_set", "epoch", "pass_number", "started_unix_ms")
@@ -126,7 +127,7 @@
         self.started_unix_ms = started_unix_ms
 
     def continues(self, earlier):
-        """Return whether these counts go on from earlier ones of the same rank."""
+        """Return whether these counts continue earlier counts of the same rank."""
         return (self.epoch, self.started_unix_ms) == (
             earlier.epoch,
             earlier.started_unix_ms,
@@ -143,7 +144,7 @@
     map_version : int
         Version of the map.
     experts_by_set : list of tuple of int
-        Experts by set.
+        Experts that the rank holds, indexed by set.
     """
 
     __slots__ = ("epoch", "experts_by_set", "map_version")
@@ -155,7 +156,7 @@
 
 
 class Prepare:
-    """Copy the experts that a map newly gives to the rank.
+    """Copy the experts that a map newly assigns to the rank.
 
     Parameters
     ----------
@@ -173,12 +174,12 @@
 
 
 class Hold:
-    """Don't let the group begin a pass.
+    """Keep the group from starting a pass.
 
     Parameters
     ----------
     epoch, pass_number : int
-        Epoch of the group, and the pass.
+        Epoch of the group, and number of the pass.
     """
 
     __slots__ = ("epoch", "pass_number")
@@ -189,12 +190,12 @@
 
 
 class Arm:
-    """Switch to a prepared map as a pass begins.
+    """Switch to a prepared map at the start of a pass.
 
     Parameters
     ----------
     epoch, version, pass_number : int
-        Epoch of the group, version of the map, and the pass.
+        Epoch of the group, version of the map, and number of the pass.
     """
 
     __slots__ = ("epoch", "pass_number", "version")
@@ -206,7 +207,7 @@
 
 
 class Disarm:
-    """Don't switch to an armed map.
+    """Cancel the switch to an armed map.
 
     Parameters
     ----------
@@ -222,12 +223,12 @@
 
 
 class Release:
-    """Let the group begin a held pass.
+    """Let the group start a held pass.
 
     Parameters
     ----------
     epoch, pass_number : int
-        Epoch of the group, and the pass.
+        Epoch of the group, and number of the pass.
     """
 
     __slots__ = ("epoch", "pass_number")
@@ -238,11 +239,12 @@
 
 
 class OrderResult(enum.Enum):
-    """What became of an order."""
+    """Result of an order."""
 
-    # It is done, or has begun.
+    # The rank has carried out the order, or has started to.
     TAKEN = "taken"
-    # It does not fit the state of the rank, and nothing was done.
+    # The order does not fit the state of the rank, and nothing was done.
     REFUSED = "refused"
-    # No answer; it may have been done, or be done seconds later.
+    # No response; the order may have been carried out, or may still be carried out
+    # seconds later.
     UNKNOWN = "unknown"
--- a/siskinthread/group_maps/_pass_clock.py
+++ b/siskinthread/group_maps/_pass_clock.py
@@ -1,18 +1,18 @@
-"""Times of the passes of one group, from the events of own streams.
+"""Times of the passes of one group, from the events of this entry's streams.
 
-The ranks of a group run in lock-step, and each pass gives every stream one event.  So
-the events of this entry's streams tell of each pass as it ends, for nothing, where the
-ranks' own reports are paid for and some hundred milliseconds old.
+The ranks of a group run in lock-step, and each pass produces one event for every
+stream.  So the events of this entry's streams show the end of each pass without cost,
+while reports of the ranks are charged for and some hundred milliseconds old.
 """
 
-# Events of one pass come a few milliseconds apart, over hosts at different distances.
-# Those within this part of a usual pass belong to the same one.
+# Events of one pass arrive a few milliseconds apart, from hosts at different distances.
+# Events within this fraction of a usual pass time belong to the same pass.
 SAME_PASS_SHARE = 0.4
-# Events that come closer are of the same pass, whatever is usual; half of the least
-# pass of an engine that serves a single request.
+# Events closer than this belong to the same pass, whatever the usual pass time; half of
+# the shortest pass of an engine that serves a single request.
 SAME_PASS_S = 0.01
-# Weight of the newest pass in the usual time: a change shows within some five passes,
-# and a single long prompt does not pass for one.
+# Weight of the newest pass in the smoothed time. A change shows within about five
+# passes, and a single long prompt has little effect.
 NEWEST_WEIGHT = 0.2
 
 
@@ -22,9 +22,9 @@
     Attributes
     ----------
     count : int
-        Passes seen.
+        Number of passes seen.
     latest_s : float or None
-        Time of the last whole pass, seconds.
+        Time of the last complete pass, seconds.
     usual_s : float or None
         Smoothed time of a pass, seconds.
     """
@@ -38,11 +38,11 @@
         self.usual_s = None
 
     def stop(self):
-        """Note that no stream is left to tell of passes."""
+        """Record that no stream is left to show passes."""
         self._began_s = None
 
     def event_came(self, now_s):
-        """Note that some stream got an event."""
+        """Record that some stream got an event."""
         if self._began_s is None:
             self._began_s = now_s
             return
@@ -60,16 +60,16 @@
 
     @property
     def is_running(self):
-        """Whether there are streams to tell of passes."""
+        """Whether any stream shows passes."""
         return self._began_s is not None and self.latest_s is not None
 
     def current_s(self, now_s):
-        """Return the time of the last pass, or of the one under way if it is longer.
+        """Return the time of the last pass, or of the current pass if it is longer.
 
         Returns
         -------
         float or None
-            None while no stream tells.
+            Seconds; None while no stream shows passes.
         """
         if not self.is_running:
             return None
@@ -77,64 +77,70 @@
 
 
 class ToldPass:
-    """Time of a pass as a peer told of it.
+    """Time of a pass as reported by a peer.
 
     Parameters
     ----------
     pass_s : float
-        The time, seconds.
-    heard_at_s : float
-        When it was heard of, monotonic seconds.
+        Time of the pass, seconds.
+    received_at_s : float
+        When the report was received, monotonic seconds.
     """
 
-    __slots__ = ("heard_at_s", "pass_s")
+    __slots__ = ("received_at_s", "pass_s")
 
-    def __init__(self, pass_s, heard_at_s):
+    def __init__(self, pass_s, received_at_s):
         self.pass_s = pass_s
-        self.heard_at_s = heard_at_s
+        self.received_at_s = received_at_s
 
 
 class PassView:
-    """Passes of one group as own streams show them, or else as peers tell.
+    """Pass times of one group from this entry's streams, or else from peers.
 
     Parameters
     ----------
     own : PassClock
-        Passes of own streams.
-    newest_told : callable
-        Returns the newest `ToldPass` of the group, or None.
+        Pass times from this entry's streams.
+    newest_reported : callable
+        Returns the newest `ReportedPass` of the group, or None.
 
     Notes
     -----
-    Where there are many entries, most of them have no stream in a group at most
-    moments.  A controller among them saw a shift of the demand only at its next
-    routine count, up to 3 s late.  On a calm day with 32 entries 627 of 3,603 streams
-    were late, and 9 with the peers' word.
+    With many entries, most of them have no stream in a given group at most moments.  A
+    controller among them would notice a shift of the demand only with its next routine
+    sample, up to 3 s late.  In a run with 32 entries and no faults 627 of 3,603 streams
+    were late, and 9 with the reports of peers.
     """
 
-    __slots__ = ("_heard_at_s", "_newest_told", "_own", "_told_usual_s")
+    __slots__ = ("_received_at_s", "_newest_reported", "_own", "_reported_usual_s")
 
-    def __init__(self, own, newest_told):
+    def __init__(self, own, newest_reported):
         self._own = own
-        self._newest_told = newest_told
-        self._told_usual_s = None
-        self._heard_at_s = None
+        self._newest_reported = newest_reported
+        self._reported_usual_s = None
+        self._received_at_s = None
 
     @property
     def usual_s(self):
-        """Smoothed time of a pass, seconds, or None."""
-        if self._own.is_running or self._told_usual_s is None:
+        """Smoothed time of a pass, seconds; None if unknown."""
+        if self._own.is_running or self._reported_usual_s is None:
             return self._own.usual_s
-        return self._told_usual_s
+        return self._reported_usual_s
 
     def current_s(self, now_s):
-        """Return the time of the last pass, seconds, or None if nobody tells."""
-        told = self._newest_told()
-        if told is not None and told.heard_at_s != self._heard_at_s:
-            self._heard_at_s = told.heard_at_s
-            usual_s = told.pass_s if self._told_usual_s is None else self._told_usual_s
-            self._told_usual_s = usual_s + NEWEST_WEIGHT * (told.pass_s - usual_s)
+        """Return the time of the last pass, seconds; None without any source."""
+        reported = self._newest_reported()
+        if reported is not None and reported.received_at_s != self._received_at_s:
+            self._received_at_s = reported.received_at_s
+            usual_s = (
+                reported.pass_s
+                if self._reported_usual_s is None
+                else self._reported_usual_s
+            )
+            self._reported_usual_s = usual_s + NEWEST_WEIGHT * (
+                reported.pass_s - usual_s
+            )
         own_s = self._own.current_s(now_s)
-        if own_s is not None or told is None:
+        if own_s is not None or reported is None:
             return own_s
-        return told.pass_s
+        return reported.pass_s
--- a/siskinthread/group_maps/_planner.py
+++ b/siskinthread/group_maps/_planner.py
@@ -1,34 +1,36 @@
-"""Plans the next small change of a group's expert map.
+"""Planner for the next small change of a group's expert map.
 
-Demand moves on every few seconds, and copying experts slows the group's passes.  A
-change that copies much comes too late; so each plan copies a few experts a rank, where
-they relieve the group most, and the next plan goes on from there.
+Demand shifts every few seconds, and copying experts slows the group's passes, so a
+large change comes too late.  Each plan therefore copies a few experts per rank, where
+they reduce the pass time most, and the next plan continues from there.
 """
 
 import itertools
 
 from siskinthread.group_maps._layout import GroupMap, relative_pass_time
 
-# Exponent of the norm that stands for the most loaded rank.  The plain maximum has
-# plateaus: with two ranks equally hot, relieving one of them shows no gain.
-NORM = 8
-# Candidates that are looked at for each step; hotter experts and cooler ranks first.
+# Exponent of the norm that approximates the load of the most loaded rank. The maximum
+# itself has plateaus: with two equally hot ranks, relieving one of them shows no gain.
+NORM_EXPONENT = 8
+# Numbers of candidates that are evaluated for each step, from the hottest experts and
+# the coolest ranks on.
 EXPERT_CANDIDATES = 3
 RANK_CANDIDATES = 4
 EVICTION_CANDIDATES = 2
 
 
 class Plan:
-    """A map to go to, and what it promises.
+    """A new map and its predicted effect.
 
     Parameters
     ----------
     group_map : GroupMap
         The new map.
     copies : int
-        Most experts that a rank has to copy for it.
+        Largest number of experts that a rank has to copy for the map.
     time_before, time_after : float
-        Time of a pass relative to evenly loaded ranks.
+        Predicted time of a pass before and after the change, relative to evenly loaded
+        ranks.
     """
 
     __slots__ = ("copies", "group_map", "time_after", "time_before")
@@ -41,12 +43,12 @@
 
     @property
     def gain(self):
-        """Part of the time of a pass that is saved."""
+        """Fraction of the pass time that the plan saves."""
         return 1 - self.time_after / self.time_before
 
 
 def plan_changes(*arguments):
-    """Return a `Plan` for each number of copies, each going on from the one before.
+    """Return a `Plan` for each number of copies; each extends the previous one.
 
     Takes the parameters of `search_plans`.
     """
@@ -55,9 +57,9 @@
 
 
 def search_plans(
-    group_map, loads_by_set, slowness, layout, settings, version, own_work=None
+    group_map, loads_by_set, slowness, layout, settings, version, non_expert_work=None
 ):
-    """Yield a `Plan` for each number of copies, and None after each piece of work.
+    """Yield a `Plan` for each number of copies, and None after each unit of work.
 
     Parameters
     ----------
@@ -66,23 +68,23 @@
     loads_by_set : list of list of float
         Load of each expert by set.
     slowness : list of float
-        Time of each rank for the same work, relative to the usual.  A slow rank holds
-        all others back; it gets less to do.
+        Time of each rank for the same work, relative to normal speed.  A slow rank
+        delays all others, so it gets less work.
     layout : ExpertLayout
         Shape of the maps.
     settings : GroupMapSettings
-        How much one change may copy.
+        Limit of copies, and least gain of a step.
     version : int
-        Version of the new map, whichever is chosen.
-    own_work : list of float, optional
+        Version of the new map; the same for all plans.
+    non_expert_work : list of float, optional
         See `relative_pass_time`.
 
     Notes
     -----
-    Pieces of work let the caller attend to requests in between.  A step looks at the
-    ranks that it changes and at the one set that the step before has changed: with
-    ranks R, experts of a rank P and C candidates a step takes R log R + C P, and there
-    are up to R steps for each number of copies.
+    The units of work let the caller yield to other tasks.  A step evaluates the ranks
+    that it changes and the one set that the previous step has changed: with R ranks, P
+    experts per rank and C candidates a step takes R log R + C P, and there are up to R
+    steps for each number of copies.
     """
     rank_count = len(group_map.holdings[0])
     searches = [
@@ -91,31 +93,32 @@
     ]
     share = layout.model.expert_share
     time_before = relative_pass_time(
-        group_map.holdings, loads_by_set, share, slowness, own_work
+        group_map.holdings, loads_by_set, share, slowness, non_expert_work
     )
     copies_left = [0] * rank_count
     for copies in range(1, settings.copies_limit + 1):
         copies_left = [left + 1 for left in copies_left]
-        is_any_taken = False
-        for search in _take_steps(searches, copies_left, settings):
-            is_any_taken = is_any_taken or search is not None
+        has_step = False
+        for search in _apply_steps(searches, copies_left, settings):
+            has_step = has_step or search is not None
             yield None
-        if not is_any_taken:
+        if not has_step:
             return
         holdings = [
             [tuple(sorted(rank)) for rank in search.ranks] for search in searches
         ]
         time_after = relative_pass_time(
-            holdings, loads_by_set, share, slowness, own_work
+            holdings, loads_by_set, share, slowness, non_expert_work
         )
         new_map = GroupMap(version, holdings, layout.expert_count)
         yield Plan(new_map, copies, time_before, time_after)
 
 
-def _take_steps(searches, copies_left, settings):
-    """Take the best steps while any helps.
+def _apply_steps(searches, copies_left, settings):
+    """Apply the best step, as long as there is one with a sufficient gain.
 
-    Yields the `_SetSearch` that took a step, and None for each one that was searched.
+    Yields the `_SetSearch` whose step was applied, and None for each set that was
+    searched.
     """
     steps = {}
     for search in searches:
@@ -125,16 +128,16 @@
         best = max(steps.values(), key=_gain)
         if best.gain <= settings.least_step_gain:
             return
-        best.search.take(best)
+        best.search.apply(best)
         steps[best.search] = best.search.best_step(copies_left)
         yield best.search
-        if best.taker is None:
+        if best.receiver is None:
             continue
-        copies_left[best.taker] -= 1
-        if copies_left[best.taker] > 0:
+        copies_left[best.receiver] -= 1
+        if copies_left[best.receiver] > 0:
             continue
         for search, step in steps.items():
-            if step.taker == best.taker:
+            if step.receiver == best.receiver:
                 steps[search] = search.best_step(copies_left)
                 yield None
 
@@ -144,46 +147,48 @@
 
 
 class _Step:
-    """One expert that is added to a rank, taken from one, or moved.
+    """One expert that is added to a rank, removed from a rank, or moved.
 
     Parameters
     ----------
     search : _SetSearch
-        Its set.
+        Search of the set that the step belongs to.
     gain : float
-        By how much it relieves the set.
+        Reduction of the norm of the rank times of the set.
     expert : int or None
-        The expert.
-    taker : int or None
-        The rank that begins to hold it.
+        The expert; None in a step without effect.
+    receiver : int or None
+        The rank that the expert is added to.
     evicted : int or None
-        The expert that the taker gives up for it.
-    giver : int or None
-        The rank that gives it up.
+        The expert that this rank drops in exchange.
+    donor : int or None
+        The rank that the expert is removed from.
     """
 
-    __slots__ = ("evicted", "expert", "gain", "giver", "search", "taker")
+    __slots__ = ("evicted", "expert", "gain", "donor", "search", "receiver")
 
-    def __init__(self, search, gain, expert=None, taker=None, evicted=None, giver=None):
+    def __init__(
+        self, search, gain, expert=None, receiver=None, evicted=None, donor=None
+    ):
         self.search = search
         self.gain = gain
         self.expert = expert
-        self.taker = taker
+        self.receiver = receiver
         self.evicted = evicted
-        self.giver = giver
+        self.donor = donor
 
 
 class _SetSearch:
-    """Search within one set.
+    """Search for steps within one set.
 
     Parameters
     ----------
     ranks : list of set of int
-        Experts of each rank; changed by `take`.
+        Experts of each rank; changed by `apply`.
     loads : list of float
         Load of each expert.
     slowness : list of float
-        Time of each rank for the same work, relative to the usual.
+        Time of each rank for the same work, relative to normal speed.
     layout : ExpertLayout
         Shape of the maps.
     """
@@ -202,78 +207,80 @@
         self.ranks = ranks
         self._slowness = slowness
         total = sum(loads) or 1.0
-        # Relative to the mean load of a rank, so that sets can be compared.
+        # Loads are relative to the mean load of a rank, so that sets can be compared.
         self._loads = [load * len(ranks) / total for load in loads]
         self._layout = layout
-        # Experts that each rank has taken; a change may bring it a few only.
+        # Number of experts added to each rank, which is limited for one change.
         self._added = [0] * len(ranks)
         self._holders = [set() for _ in loads]
         for rank, experts in enumerate(ranks):
             for expert in experts:
                 self._holders[expert].add(rank)
-        # Time that each rank takes, relative to an even one.
+        # Time of each rank, relative to an evenly loaded rank.
         self._times = [
-            slow * sum(self._part(expert) for expert in experts)
+            slow * sum(self._load_per_holder(expert) for expert in experts)
             for slow, experts in zip(slowness, ranks, strict=True)
         ]
 
-    def take(self, step):
-        """Put a step into the map."""
+    def apply(self, step):
+        """Apply a step to the map."""
         for rank, change in self._changes(step).items():
             self._times[rank] += change
         if step.evicted is not None:
-            self._drop(step.evicted, step.taker)
-        if step.taker is not None:
-            self.ranks[step.taker].add(step.expert)
-            self._holders[step.expert].add(step.taker)
-            self._added[step.taker] += 1
-        if step.giver is not None:
-            self._drop(step.expert, step.giver)
+            self._drop(step.evicted, step.receiver)
+        if step.receiver is not None:
+            self.ranks[step.receiver].add(step.expert)
+            self._holders[step.expert].add(step.receiver)
+            self._added[step.receiver] += 1
+        if step.donor is not None:
+            self._drop(step.expert, step.donor)
 
     def best_step(self, copies_left):
-        """Return the step that relieves the set most, of gain 0 if none does."""
+        """Return the step with the largest gain, or one of gain 0 if none helps."""
         times = self._times
         hottest = max(range(len(times)), key=times.__getitem__)
-        takers = [
+        receivers = [
             rank
             for rank, left in enumerate(copies_left)
             if left > 0 and self._added[rank] < self._layout.spare_count
         ]
-        takers.sort(key=times.__getitem__)
-        sum_before = sum(time**NORM for time in times)
-        norm_before = sum_before ** (1 / NORM)
+        receivers.sort(key=times.__getitem__)
+        sum_before = sum(time**NORM_EXPONENT for time in times)
+        norm_before = sum_before ** (1 / NORM_EXPONENT)
         best = _Step(self, 0.0)
-        experts = sorted(self.ranks[hottest], key=self._part, reverse=True)
+        experts = sorted(self.ranks[hottest], key=self._load_per_holder, reverse=True)
         for expert in experts[:EXPERT_CANDIDATES]:
-            for step in self._steps(expert, hottest, takers):
+            for step in self._steps(expert, hottest, receivers):
                 sum_after = sum_before
                 for rank, change in self._changes(step).items():
-                    sum_after += (times[rank] + change) ** NORM - times[rank] ** NORM
-                step.gain = norm_before - max(0.0, sum_after) ** (1 / NORM)
+                    sum_after += (times[rank] + change) ** NORM_EXPONENT - times[
+                        rank
+                    ] ** NORM_EXPONENT
+                step.gain = norm_before - max(0.0, sum_after) ** (1 / NORM_EXPONENT)
                 if step.gain > best.gain:
                     best = step
         return best
 
-    def _steps(self, expert, hottest, takers):
-        """Yield the steps that may relieve the hottest rank of an expert.
+    def _steps(self, expert, hottest, receivers):
+        """Yield the steps that may reduce the hottest rank's load from an expert.
 
-        A slow rank is relieved only by taking experts from it: what it shares with
-        others it still does its part of.  With a rank that took 12 times as long,
-        adding replicas alone left passes at 5 times an even one after six changes.
+        A slow rank is relieved only by removing experts, since it still does its share
+        of replicated experts.  With a rank that took 12 times as long, adding replicas
+        alone left passes at 5 times the time of an even pass after six changes.
         """
         holders = self._holders[expert]
         if len(holders) > 1:
-            yield _Step(self, 0.0, expert, giver=hottest)
+            yield _Step(self, 0.0, expert, donor=hottest)
         coolest = itertools.islice(
-            (rank for rank in takers if rank not in holders), RANK_CANDIDATES
+            (rank for rank in receivers if rank not in holders), RANK_CANDIDATES
         )
-        for taker in coolest:
-            for evicted in self._evictions(taker):
-                yield _Step(self, 0.0, expert, taker, evicted)
-                yield _Step(self, 0.0, expert, taker, evicted, hottest)
+        for receiver in coolest:
+            for evicted in self._evictions(receiver):
+                yield _Step(self, 0.0, expert, receiver, evicted)
+                yield _Step(self, 0.0, expert, receiver, evicted, hottest)
 
     def _evictions(self, rank):
-        """Return what a rank may give up for one more expert; None for nothing."""
+        """Return the experts that a rank may drop for a new one; None for no drop."""
         held = self.ranks[rank]
         if len(held) < self._layout.place_count:
             return [None]
@@ -282,18 +289,18 @@
         return spare[:EVICTION_CANDIDATES]
 
     def _changes(self, step):
-        """Return by how much a step changes the time of each rank that it concerns."""
+        """Return the changes of rank times that a step causes, by rank."""
         changes = {}
-        self._share_anew(changes, step.expert, step.taker, step.giver)
+        self._redistribute(changes, step.expert, step.receiver, step.donor)
         if step.evicted is not None:
-            self._share_anew(changes, step.evicted, None, step.taker)
+            self._redistribute(changes, step.evicted, None, step.receiver)
         return changes
 
-    def _share_anew(self, changes, expert, joining, leaving):
-        """Add the changes of a rank that begins or ceases to hold an expert."""
+    def _redistribute(self, changes, expert, joining, leaving):
+        """Add the changes of rank times when ranks start or stop holding an expert."""
         slowness = self._slowness
         holders = self._holders[expert]
-        part = self._part(expert)
+        part = self._load_per_holder(expert)
         count = len(holders) + (joining is not None) - (leaving is not None)
         new_part = self._loads[expert] / count
         for rank in holders:
@@ -303,8 +310,8 @@
             change = new_part * slowness[joining]
             changes[joining] = changes.get(joining, 0.0) + change
 
-    def _part(self, expert):
-        """Return the load that each holder of an expert has of it."""
+    def _load_per_holder(self, expert):
+        """Return the load that an expert puts on each of its holders."""
         return self._loads[expert] / len(self._holders[expert])
 
     def _drop(self, expert, rank):
--- a/siskinthread/group_maps/_ranks.py
+++ b/siskinthread/group_maps/_ranks.py
@@ -1,4 +1,4 @@
-"""All ranks of one group, told and asked together."""
+"""Sends orders and queries to all ranks of one group concurrently."""
 
 from functools import singledispatch
 
@@ -6,25 +6,27 @@
 
 from siskinthread.errors import TargetError
 from siskinthread.group_maps._order_timing import (
+    AttemptSchedule,
     COUNTS,
     HELD_EXPERTS,
     OrderTimeouts,
-    OrderTries,
     REPORT,
 )
 from siskinthread.group_maps._orders import OrderResult, Prepare
-from siskinthread.group_maps._repeats import repeating_s, TryCounts
+from siskinthread.group_maps._retries import AttemptCounts, retry_allowance_s
 from siskinthread.timing import SYSTEM_CLOCK
 
-# Head and fields of an order without a map.
+# Size of the HTTP head and the fields of an order without a map.
 SMALL_ORDER_BYTES = 300
-# Number of an expert and its part of the brackets; three places a rank.
+# Size of an expert number with its share of the brackets, at three slots per rank.
 HELD_EXPERT_BYTES = 5
-# Part of its wait within which a try without a response counts as refused at once.
-AT_ONCE_SHARE = 0.9
-# A wait that ends so much later shows that this process got no processor; it may have
-# connected and sent only then, so that the try tells nothing of the rank.
-OWN_DELAY_S = 0.01
+# An attempt that fails without a response within this part of its timeout counts as a
+# refused connection.
+EARLY_FAILURE_SHARE = 0.9
+# A wait that overruns its timeout by this much shows that this process was not
+# scheduled. The order may have been sent only then, so the attempt says nothing about
+# the rank.
+SCHEDULING_DELAY_S = 0.01
 
 
 class GroupRanks:
@@ -33,69 +35,71 @@
     Parameters
     ----------
     clients : list of object
-        One for each rank, in order: ``async report(wait_s)``, ``async counts(wait_s)``,
-        ``async held_experts(wait_s)`` and ``async order(order, wait_s)``, which returns
-        an `OrderResult`.  The first three raise `TargetError` without an answer.
+        One for each rank, in rank order, with ``async report(wait_s)``, ``async
+        counts(wait_s)``, ``async held_experts(wait_s)`` and ``async order(order,
+        wait_s)``, which returns an `OrderResult`.  The first three raise `TargetError`
+        without a response.
     settings : GroupMapSettings
-        Waits and tries.
+        Timeouts and limits of attempts.
     clock : siskinthread.timing.Clock
-        Clock of the response times.
+        Clock for the response times.
     measures : MapMeasures, optional
         Metrics.
 
     Attributes
     ----------
-    tries : TryCounts
-        Tries of all orders so far.
+    attempts : AttemptCounts
+        Counts of all attempts to send orders so far.
     """
 
-    __slots__ = ("_clock", "_measures", "_settings", "_timeouts", "clients", "tries")
+    __slots__ = ("_clock", "_measures", "_settings", "_timeouts", "clients", "attempts")
 
     def __init__(self, clients, settings, clock=SYSTEM_CLOCK, measures=None):
         self.clients = clients
-        self.tries = TryCounts()
+        self.attempts = AttemptCounts()
         self._settings = settings
         self._clock = clock
         self._measures = measures
         self._timeouts = OrderTimeouts(settings)
 
-    def repeating_s(self, earlier):
-        """Return the time that repeats of arming all ranks and of a release take.
+    def retry_allowance_s(self, earlier):
+        """Return the time to allow for retries of arming all ranks and of a release.
 
         Parameters
         ----------
-        earlier : TryCounts
-            Counts from which on tries show the share of unanswered ones.
+        earlier : AttemptCounts
+            Counts at the start of the period over which the share of unanswered
+            attempts is taken.
 
         Returns
         -------
         float
-            Seconds; 0 if all tries since then were answered.
+            Seconds; 0 if all attempts since then were answered.
         """
         ranks = range(len(self.clients))
-        timeouts_s = [self._timeouts.repeat_s(rank) for rank in ranks]
-        share = self.tries.unanswered_share(earlier)
-        return repeating_s(len(ranks), share, sum(timeouts_s) / len(ranks))
+        timeouts_s = [self._timeouts.retry_s(rank) for rank in ranks]
+        share = self.attempts.unanswered_share(earlier)
+        return retry_allowance_s(len(ranks), share, sum(timeouts_s) / len(ranks))
 
     async def reports(self, ranks=None):
-        """Return the `RankReport` of every rank, or of some.
+        """Return the `RankReport` of every rank, or of selected ranks.
 
         Parameters
         ----------
         ranks : iterable of int, optional
-            Numbers of the ranks to ask.
+            Numbers of the ranks to query; all by default.
 
         Raises
         ------
         TargetError
-            If one of them does not answer.
+            If any of the ranks does not respond.
         """
         ranks = range(len(self.clients)) if ranks is None else ranks
-        return await self._ask_all(REPORT, ranks)
+        return await self._query_all(REPORT, ranks)
 
     async def held_experts(self):
         """Return the `HeldExperts` of every rank; raises like `reports`."""
-        return await self._ask_all(HELD_EXPERTS, range(len(self.clients)))
+        return await self._query_all(HELD_EXPERTS, range(len(self.clients)))
 
     async def counts(self, rank):
         """Return the `RankCounts` of a rank.
@@ -103,99 +107,99 @@
         Raises
         ------
         TargetError
-            If it does not answer.
+            If the rank does not respond.
         """
-        return await self._ask(COUNTS, rank)
+        return await self._query(COUNTS, rank)
 
-    async def tell(self, rank, order, sending=None):
-        """Send an order until the rank answers.
+    async def send(self, rank, order, link=None):
+        """Send an order, with retries, until the rank responds.
 
         Parameters
         ----------
         rank : int
-            The rank.
+            Number of the rank.
         order : object
             The order.
-        sending : SharedLink, optional
-            The link, if other orders are sent over it at the same time.
-
-        An order whose answer was lost may have been carried out; each of them leaves
-        the same state when it is carried out twice, so it is simply sent again.
+        link : SharedLink, optional
+            The host's link, if other orders are sent over it at the same time.
 
         Returns
         -------
         OrderResult
-            ``UNKNOWN`` if no try was answered.
+            ``UNKNOWN`` if no attempt was answered.
+
+        Notes
+        -----
+        An order whose response was lost may have been carried out.  Orders are
+        idempotent, so it is sent again.
         """
-        tries = OrderTries(self._settings)
-        wait_s = tries.next_wait_s(self._timeouts.first_s(rank))
-        extra_s = 0.0 if sending is None else sending.all_s
-        is_repeat = False
+        schedule = AttemptSchedule(self._settings)
+        wait_s = schedule.next_wait_s(self._timeouts.first_s(rank))
+        extra_s = 0.0 if link is None else link.all_s
+        is_retry = False
         while wait_s is not None:
             limit_s = wait_s + extra_s
-            result, took_s = await self._try(rank, order, limit_s, is_repeat)
+            result, took_s = await self._attempt(rank, order, limit_s, is_retry)
             if result is not OrderResult.UNKNOWN:
                 if took_s <= limit_s:
-                    connecting_s = took_s / 2 if is_repeat else 0.0
+                    connecting_s = took_s / 2 if is_retry else 0.0
                     self._timeouts.note_order(rank, took_s, extra_s + connecting_s)
                 return result
-            if took_s < AT_ONCE_SHARE * limit_s:
-                tries.failed_at_once(wait_s)
-            is_repeat = True
-            extra_s = 0.0 if sending is None else sending.busy_s()
-            timeout_s = self._timeouts.repeat_s(rank)
-            if took_s > limit_s + OWN_DELAY_S:
+            if took_s < EARLY_FAILURE_SHARE * limit_s:
+                schedule.failed_early(wait_s)
+            is_retry = True
+            extra_s = 0.0 if link is None else link.busy_s()
+            timeout_s = self._timeouts.retry_s(rank)
+            if took_s > limit_s + SCHEDULING_DELAY_S:
                 timeout_s = self._settings.order_wait_s
-            wait_s = tries.next_wait_s(timeout_s)
-        self._timeouts.note_silence(rank)
+            wait_s = schedule.next_wait_s(timeout_s)
+        self._timeouts.note_unresponsive(rank)
         return OrderResult.UNKNOWN
 
-    async def _try(self, rank, order, limit_s, is_repeat):
-        """Send an order once; return its `OrderResult` and the time it took."""
+    async def _attempt(self, rank, order, limit_s, is_retry):
+        """Send an order once; return its `OrderResult` and the elapsed time."""
         sent_s = self._clock.monotonic_s()
         result = await self.clients[rank].order(order, limit_s)
         took_s = self._clock.monotonic_s() - sent_s
-        is_delayed = took_s > limit_s + OWN_DELAY_S
-        self.tries.note(is_repeat, result is OrderResult.UNKNOWN, is_delayed)
+        is_delayed = took_s > limit_s + SCHEDULING_DELAY_S
+        self.attempts.note(is_retry, result is OrderResult.UNKNOWN, is_delayed)
         if self._measures is not None:
-            self._measures.order_tried(order, is_repeat)
+            self._measures.note_attempt(order, is_retry)
             if result is not OrderResult.UNKNOWN:
-                self._measures.order_answered(took_s)
+                self._measures.note_response(took_s)
         return result, took_s
 
-    async def tell_all(self, orders, on_taken=None):
-        """Send each rank its order at the same time; return the results by rank.
+    async def send_all(self, orders, on_accepted=None):
+        """Send each rank its order concurrently; return the results by rank.
 
         Parameters
         ----------
         orders : dict of int to order
             Orders by rank.
-        on_taken : callable, optional
-            Called with the rank as soon as it has taken its order.
+        on_accepted : callable, optional
+            Called with the number of a rank as soon as it has accepted its order.
         """
-        # All ranks get one and the same order, or small ones.
+        # Either all ranks get the same order, or the orders are small.
         largest_bytes = max(map(order_size_bytes, set(orders.values())), default=0)
-        sending = SharedLink(
-            largest_bytes, len(orders), self._settings.send_rate_bytes_s
-        )
+        link = SharedLink(largest_bytes, len(orders), self._settings.send_rate_bytes_s)
         tasks = {
             rank: await curio.spawn(
-                self._tell_one, rank, order, sending, on_taken, daemon=True
+                self._send_one, rank, order, link, on_accepted, daemon=True
             )
             for rank, order in orders.items()
         }
         return {rank: await task.join() for rank, task in tasks.items()}
 
-    async def _tell_one(self, rank, order, sending, on_taken):
-        result = await self.tell(rank, order, sending)
-        sending.order_ended()
-        if on_taken is not None and result is OrderResult.TAKEN:
-            on_taken(rank)
+    async def _send_one(self, rank, order, link, on_accepted):
+        result = await self.send(rank, order, link)
+        link.order_ended()
+        if on_accepted is not None and result is OrderResult.TAKEN:
+            on_accepted(rank)
         return result
 
-    async def _ask_all(self, kind, ranks):
+    async def _query_all(self, kind, ranks):
         tasks = [
-            await curio.spawn(self._answer_or_error, kind, rank, daemon=True)
+            await curio.spawn(self._response_or_error, kind, rank, daemon=True)
             for rank in ranks
         ]
         answers = [await task.join() for task in tasks]
@@ -204,15 +208,15 @@
                 raise answer
         return answers
 
-    async def _answer_or_error(self, kind, rank):
+    async def _response_or_error(self, kind, rank):
         try:
-            return await self._ask(kind, rank)
+            return await self._query(kind, rank)
         except TargetError as error:
             return error
 
-    async def _ask(self, kind, rank):
-        """Ask a rank, once more if there was no answer in time."""
-        waits_s = self._timeouts.question_waits_s(rank, kind)
+    async def _query(self, kind, rank):
+        """Query a rank, with a retry if it does not respond in time."""
+        waits_s = self._timeouts.query_timeouts_s(rank, kind)
         while True:
             wait_s = waits_s.pop(0)
             asked_s = self._clock.monotonic_s()
@@ -220,29 +224,29 @@
                 answer = await getattr(self.clients[rank], kind)(wait_s)
             except TargetError:
                 took_s = self._clock.monotonic_s() - asked_s
-                if took_s < AT_ONCE_SHARE * wait_s:
+                if took_s < EARLY_FAILURE_SHARE * wait_s:
                     raise
                 if not waits_s:
-                    self._timeouts.note_silence_when_asked(rank)
+                    self._timeouts.note_unresponsive_to_query(rank)
                     raise
                 continue
             took_s = self._clock.monotonic_s() - asked_s
             if took_s <= wait_s:
-                self._timeouts.note_question(rank, kind, took_s)
+                self._timeouts.note_query(rank, kind, took_s)
             return answer
 
 
 class SharedLink:
-    """The host's link while an order is sent to many ranks.
+    """Time that the host's link needs to send an order to many ranks.
 
     Parameters
     ----------
     order_bytes : int
-        Size of the order.
+        Size of the order, bytes.
     order_count : int
-        Ranks that it is sent to.
+        Number of ranks that the order is sent to.
     rate_bytes_s : float
-        Rate of the link.
+        Rate of the link, bytes per second.
 
     Attributes
     ----------
@@ -258,17 +262,17 @@
         self.all_s = self.busy_s()
 
     def busy_s(self):
-        """Return how long the link may be busy with orders not yet answered."""
+        """Return how long unanswered orders may keep the link busy, seconds."""
         return self._order_s * self._waiting_count
 
     def order_ended(self):
-        """Note that an order was answered or given up."""
+        """Record that an order was answered or abandoned."""
         self._waiting_count -= 1
 
 
 @singledispatch
 def order_size_bytes(order):
-    """Return about how many bytes an order takes on the way."""
+    """Return the approximate size of an order on the wire, bytes."""
     return SMALL_ORDER_BYTES
 
 
--- a/siskinthread/group_maps/_look_times.py
+++ b/siskinthread/group_maps/_sample_schedule.py
@@ -1,40 +1,40 @@
-"""When the demand of a group is worth counting.
+"""Schedule of the samples of a group's demand.
 
-A count is paid for and makes the group pause.  What it answers shows for nothing in the
-time of passes: while they are short, streams are in time with any map; when demand
-shifts, all passes grow longer at once, and each of them is late for every stream of the
-group until the map follows.
+A sample is charged for and makes the group pause, while the times of passes show
+without cost whether a sample is needed.  While passes are short, streams are in time
+with any map.  When demand shifts, all passes grow longer at once, and each pass is late
+for every stream of the group until the map follows.
 """
 
 import enum
 
 
-class LookCause(enum.Enum):
-    """Why the demand should be counted now."""
+class SampleCause(enum.Enum):
+    """Reason for a sample of the demand."""
 
-    # Passes have become longer from one to the next.
+    # Passes have suddenly become longer.
     JUMP = "passes became longer"
-    # Passes are near the longest that are in time.
+    # Passes are close to the longest pass that is in time.
     LONG_PASSES = "passes are long"
-    # The group has formed anew, with the first map.
+    # The group has re-formed with the first map.
     REFORMED = "group has re-formed"
-    # Nothing is known yet, or it is old.
+    # There is no sample yet, or the last one is old.
     ROUTINE = "routine"
 
 
-class LookTimes:
-    """Decides when to count.
+class SampleSchedule:
+    """Decides when to sample the demand.
 
     Parameters
     ----------
     pass_clock : PassClock or PassView
-        Passes as streams show them.
+        Pass times from stream events.
     pass_limit_s : float
         Longest pass with which streams are in time, seconds.
     settings : GroupMapSettings
         Intervals and ratios.
     clock : siskinthread.timing.Clock
-        Clock of the intervals.
+        Clock for the intervals.
     """
 
     __slots__ = ("_clock", "_last_s", "_pass_clock", "_pass_limit_s", "_settings")
@@ -46,29 +46,29 @@
         self._clock = clock
         self._last_s = None
 
-    def note_look(self):
-        """Note that the demand is counted now."""
+    def note_sample(self):
+        """Record that the demand is sampled now."""
         self._last_s = self._clock.monotonic_s()
 
     def forget(self):
-        """Make the next look due at once."""
+        """Make the next sample due immediately."""
         self._last_s = None
 
     def cause(self):
-        """Return the `LookCause` if a look is due, or None."""
+        """Return the `SampleCause` if a sample is due, or None."""
         if self._last_s is None:
-            return LookCause.ROUTINE
+            return SampleCause.ROUTINE
         settings = self._settings
         now_s = self._clock.monotonic_s()
         since_s = now_s - self._last_s
         if since_s < settings.least_look_interval_s:
             return None
         if self._has_jumped(now_s):
-            return LookCause.JUMP
+            return SampleCause.JUMP
         if since_s >= settings.look_limit_s:
-            return LookCause.ROUTINE
+            return SampleCause.ROUTINE
         if since_s >= settings.busy_look_interval_s and self._are_passes_long():
-            return LookCause.LONG_PASSES
+            return SampleCause.LONG_PASSES
         return None
 
     def _has_jumped(self, now_s):
--- a/siskinthread/group_maps/_slow_ranks.py
+++ b/siskinthread/group_maps/_slow_ranks.py
@@ -1,9 +1,10 @@
-"""Which ranks of a group should get no requests because they are slow.
+"""Detects ranks of a group that should get no requests because they are slow.
 
-The load pattern: one rank of a group takes several times as long for the same work.
-All ranks execute each pass together, so every stream of the group waits for it.  Taking
-experts from it is not enough: it still does its own part for the requests that it
-runs, and reads their prompts.  So it gets no more of them while few ranks are slow.
+Load pattern: one rank of a group takes several times as long for the same work.  All
+ranks execute each pass together, so every stream of the group waits for the slow rank.
+Moving its experts away is not enough: the rank still does the non-expert work of the
+requests that it runs, and processes their prompts.  So it gets no new requests, as long
+as only few ranks are slow.
 """
 
 from siskinthread.observability import part_logger
@@ -12,28 +13,29 @@
 
 
 class SlowRanks:
-    """Which ranks of one group are slow, as they report.
+    """Slow ranks of one group, by their own reports.
 
     Parameters
     ----------
     target_ids : list of str
-        The instance id of each rank's target, in the order of the ranks.
-    tell : callable
-        Called with the ids of the slow targets whenever ranks have reported.
+        Instance id of each rank's target, in rank order.
+    notify : callable
+        Called with the instance ids of the slow targets each time ranks have reported.
     settings : GroupMapSettings
-        From when on a rank is slow, and how many may be passed over.
+        Slowness from which a rank counts as slow, and largest share of ranks to
+        exclude.
 
     Notes
     -----
     With one of 63 ranks 4 times slower, passes of an otherwise even group took 0.16 s
-    to 0.24 s, which is late for all 300 streams.
+    to 0.24 s, which is too late for all 300 streams.
     """
 
-    __slots__ = ("_settings", "_slow", "_slowness", "_target_ids", "_tell")
+    __slots__ = ("_settings", "_slow", "_slowness", "_target_ids", "_notify")
 
-    def __init__(self, target_ids, tell, settings):
+    def __init__(self, target_ids, notify, settings):
         self._target_ids = target_ids
-        self._tell = tell
+        self._notify = notify
         self._settings = settings
         self._slowness = {}
         self._slow = []
@@ -44,7 +46,7 @@
         return list(self._slow)
 
     def note(self, reports):
-        """Take the `RankReport` of all ranks, or of some."""
+        """Update from the `RankReport` of all ranks, or of some."""
         for report in reports:
             self._slowness[report.rank] = report.slowness
         slow = self._find_slow()
@@ -55,7 +57,7 @@
                 targets=self._ids(),
                 slowness=[round(self._slowness[rank], 2) for rank in slow],
             )
-        self._tell(self._ids())
+        self._notify(self._ids())
 
     def _find_slow(self):
         settings = self._settings
@@ -64,7 +66,8 @@
             for rank, slowness in self._slowness.items()
             if slowness >= settings.slow_ratio and rank < len(self._target_ids)
         )
-        # Passing over many would cost more slots than shorter passes give back.
+        # Excluding many ranks would cost more request slots than shorter passes give
+        # back.
         if len(slow) > settings.slow_share_limit * len(self._target_ids):
             return []
         return slow
--- a/siskinthread/group_maps/tests/__init__.py
+++ b/siskinthread/group_maps/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of group maps."""
+"""Tests of the control of expert maps."""
--- a/siskinthread/group_maps/tests/fake_group.py
+++ b/siskinthread/group_maps/tests/fake_group.py
@@ -1,4 +1,4 @@
-"""A group of ranks in memory, with faults at chosen orders."""
+"""An in-memory group of ranks, with faults injected at chosen orders."""
 
 import enum
 
@@ -17,26 +17,26 @@
 
 
 class Fault(enum.Enum):
-    """What may happen to an order."""
+    """Faults of an order."""
 
-    # It is lost on its way.
+    # The order is lost.
     LOST = "lost"
-    # It is carried out, and the answer is lost.
+    # The order is carried out, and the response is lost.
     UNANSWERED = "unanswered"
-    # No answer, and it is carried out `LATE_EVENTS` orders later.
+    # There is no response, and the order is carried out `LATE_ORDERS` orders later.
     LATE = "late"
-    # The controller ends before the order is sent.
+    # The controller stops before the order is sent.
     CRASH = "crash"
-    # The controller stands still before the order is sent, while another one looks
-    # after the group; then it goes on.
+    # The controller pauses before the order is sent, while another one recovers the
+    # group; then it continues.
     PAUSE = "pause"
 
 
-LATE_EVENTS = 5
+LATE_ORDERS = 5
 
 
 class ControllerCrashError(Exception):
-    """Ends a controller at a chosen order."""
+    """Stops a controller at a chosen order."""
 
 
 class FakeRank:
@@ -45,34 +45,34 @@
     def __init__(self):
         self.version = 0
         self.prepared = None
-        # The order, counted over all ranks, from which on it is really prepared.
-        self.copied_at_event = 0
+        # Number of the order, counted over all ranks, from which the map is copied.
+        self.copied_at_order = 0
         self.highest = 0
         self.armed = None
 
 
 class FakeGroup:
-    """Ranks that carry orders out as model servers do.
+    """Ranks that carry out orders like model servers.
 
     Parameters
     ----------
     rank_count : int
-        Ranks.
+        Number of ranks.
     faults : dict of int to Fault
-        Faults by the number of the order, counted over all ranks.
-    passes_an_order : int
-        Passes that the group begins, unless held, before each order.
+        Faults by number of the order, counted over all ranks.
+    passes_per_order : int
+        Passes that the group starts, unless held, before each order.
     copying_orders : int
-        Orders that come, to any rank, before a rank has copied what it prepares.
+        Number of orders, to any rank, until a rank has copied a prepared map.
     first_holdings : list of list of tuple of int
-        The first map, for which nothing has to be copied.
+        The first map, which needs no copies.
     """
 
     def __init__(
         self,
         rank_count,
         faults=None,
-        passes_an_order=1,
+        passes_per_order=1,
         copying_orders=0,
         first_holdings=None,
     ):
@@ -80,7 +80,7 @@
         self.first_holdings = first_holdings
         self.ranks = [FakeRank() for _ in range(rank_count)]
         self.faults = faults or {}
-        self.passes_an_order = passes_an_order
+        self.passes_per_order = passes_per_order
         self.epoch = 1
         self.running = 0
         self.pass_number = 10
@@ -88,11 +88,11 @@
         self.event_count = 0
         self.late = []
         self.mixed_passes = []
-        self.when_paused = None
+        self.on_pause = None
         self.orders = []
 
     def advance(self):
-        """Begin the next pass unless it is held."""
+        """Start the next pass unless it is held."""
         following = self.pass_number + 1
         if self.held_pass is not None and following >= self.held_pass:
             return
@@ -105,36 +105,36 @@
             self.mixed_passes.append(following)
 
     async def deliver(self, number, order):
-        """Take an order, with the fault that is due; return an `OrderResult`."""
+        """Receive an order with its fault, if any; return an `OrderResult`."""
         event = self.event_count
         self.event_count += 1
         fault = self.faults.get(event)
         if fault is Fault.CRASH:
             raise ControllerCrashError
-        if fault is Fault.PAUSE and self.when_paused is not None:
-            await self.when_paused()
-        for _ in range(self.passes_an_order):
+        if fault is Fault.PAUSE and self.on_pause is not None:
+            await self.on_pause()
+        for _ in range(self.passes_per_order):
             self.advance()
         self._carry_out_late()
         if fault is Fault.LOST:
             return OrderResult.UNKNOWN
         if fault is Fault.LATE:
-            self.late.append((event + LATE_EVENTS, number, order))
+            self.late.append((event + LATE_ORDERS, number, order))
             return OrderResult.UNKNOWN
         result = self.carry_out(number, order)
         return OrderResult.UNKNOWN if fault is Fault.UNANSWERED else result
 
     def carry_out(self, number, order):
-        """Carry an order out now; return an `OrderResult`."""
+        """Carry out an order now; return an `OrderResult`."""
         self.orders.append((number, order))
         if order.epoch != self.epoch:
             return OrderResult.REFUSED
-        taken = _CARRY_OUT[type(order)](self, number, order)
-        return OrderResult.TAKEN if taken else OrderResult.REFUSED
+        accepted = _CARRY_OUT[type(order)](self, number, order)
+        return OrderResult.TAKEN if accepted else OrderResult.REFUSED
 
     def prepared_version(self, rank):
         """Return the version that a rank has copied, or None."""
-        is_copied = self.event_count >= rank.copied_at_event
+        is_copied = self.event_count >= rank.copied_at_order
         return rank.prepared if is_copied else None
 
     def _carry_out_late(self):
@@ -151,9 +151,9 @@
         if version <= rank.highest or rank.armed is not None:
             return False
         rank.highest = rank.prepared = version
-        rank.copied_at_event = self.event_count
+        rank.copied_at_order = self.event_count
         if order.group_map.holdings != self.first_holdings:
-            rank.copied_at_event += self.copying_orders
+            rank.copied_at_order += self.copying_orders
         return True
 
     def _arm(self, number, order):
@@ -162,7 +162,7 @@
             return True
         if rank.armed is not None or rank.prepared != order.version:
             return False
-        if self.event_count < rank.copied_at_event:
+        if self.event_count < rank.copied_at_order:
             return False
         if order.pass_number <= self.pass_number:
             return False
@@ -201,7 +201,7 @@
 
 
 class FakeClient:
-    """One rank as a controller sees it."""
+    """Client of one rank, as a controller uses it."""
 
     def __init__(self, group, number, holdings):
         self._group = group
@@ -209,7 +209,7 @@
         self._holdings = holdings
 
     async def report(self, wait_s):
-        """Return what the rank reports; fresh, unlike that of a real one."""
+        """Return the report of the rank, without the lag of a real one."""
         group, rank = self._group, self._group.ranks[self._number]
         if group.faults.get("silent") == self._number:
             raise TargetError("silent")
@@ -234,5 +234,5 @@
         return HeldExperts(self._group.epoch, version, mine)
 
     async def order(self, order, wait_s):
-        """Give an order."""
+        """Send an order."""
         return await self._group.deliver(self._number, order)
--- a/siskinthread/group_maps/tests/model_group.py
+++ b/siskinthread/group_maps/tests/model_group.py
@@ -1,7 +1,7 @@
-"""A group that runs passes by the model of a pass, for replays of load.
+"""A group that runs passes by the pass model, for replays of load.
 
-Passes take real time, a part of what they take on real engines.  Ranks copy, prepare,
-arm and hold as real ones do, and each pass tells a `PassClock` of its end.
+Passes take real time, a fraction of that on real engines.  Ranks copy, prepare, arm and
+hold like real ones, and a `PassClock` is notified of the end of each pass.
 """
 
 import curio
@@ -14,29 +14,29 @@
 
 
 class ModelGroup(FakeGroup):
-    """Ranks whose passes take as long as the map, the demand and the load make them.
+    """Ranks whose pass times follow from the map, the demand and the load.
 
     Parameters
     ----------
     holdings : list of list of tuple of int
         The first map.
     layout : ExpertLayout
-        Model of a pass, and time of copying.
+        Pass model, and time of a copy.
     loads_by_set : list of list of float
         The demand; may be changed at any time.
     running : int
-        Requests of each rank.
+        Number of requests of each rank.
     pass_clock : PassClock
-        Told of each pass.
+        Notified of each pass.
 
     Attributes
     ----------
     pass_times_s : list of float
-        Time of each pass.
+        Time of each pass, seconds.
     """
 
     def __init__(self, holdings, layout, loads_by_set, running, pass_clock):
-        super().__init__(len(holdings[0]), passes_an_order=0)
+        super().__init__(len(holdings[0]), passes_per_order=0)
         self.holdings_by_version = {0: holdings}
         self.layout = layout
         self.loads_by_set = loads_by_set
@@ -47,7 +47,7 @@
         self._copied_at_s = {}
 
     async def run_passes(self):
-        """Begin one pass after the other until cancelled."""
+        """Run passes until cancelled."""
         while True:
             following = self.pass_number + 1
             if self.held_pass is not None and following >= self.held_pass:
@@ -80,8 +80,8 @@
         rank = self.ranks[number]
         before = self.holdings_by_version[rank.version]
         is_new = rank.prepared != order.group_map.version
-        taken = super()._prepare(number, order)
-        if taken and is_new:
+        accepted = super()._prepare(number, order)
+        if accepted and is_new:
             after = order.group_map.holdings
             self.holdings_by_version[order.group_map.version] = after
             copies = sum(
@@ -90,7 +90,7 @@
             )
             copying_s = copies * self.layout.copy_s
             self._copied_at_s[number] = SYSTEM_CLOCK.monotonic_s() + copying_s
-        return taken
+        return accepted
 
     def _arm(self, number, order):
         if SYSTEM_CLOCK.monotonic_s() < self._copied_at_s.get(number, 0.0):
@@ -98,20 +98,20 @@
         return super()._arm(number, order)
 
     def carry_out(self, number, order):
-        """Carry an order out now; return an `OrderResult`."""
+        """Carry out an order now; return an `OrderResult`."""
         name = f"_{type(order).__name__.lower()}"
-        taken = order.epoch == self.epoch and getattr(self, name)(number, order)
-        return OrderResult.TAKEN if taken else OrderResult.REFUSED
+        accepted = order.epoch == self.epoch and getattr(self, name)(number, order)
+        return OrderResult.TAKEN if accepted else OrderResult.REFUSED
 
 
 class ModelClient(FakeClient):
-    """One rank of a `ModelGroup` as a controller sees it."""
+    """Client of one rank of a `ModelGroup`, as a controller uses it."""
 
     def __init__(self, group, number):
         super().__init__(group, number, None)
 
     async def counts(self, wait_s):
-        """Return what the requests have chosen since the start."""
+        """Return the counts of selected experts since the start."""
         group = self._group
         counts = [[round(one) for one in one_set] for one_set in group.counts]
         return RankCounts(group.epoch, group.pass_number, counts)
--- a/siskinthread/group_maps/tests/test_demand.py
+++ b/siskinthread/group_maps/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""Demand for experts from counts of a few ranks."""
+"""Tests of the estimate of demand for experts."""
 
 from siskinthread.group_maps import Demand, GroupMapSettings, RankCounts
 
@@ -11,7 +11,7 @@
 
 
 def test_two_looks_give_what_was_chosen_between_them():
-    """Ranks count from their start; only the difference tells of now."""
+    """Ranks count from their start; only the difference shows the demand."""
     demand = Demand(SETTINGS)
     demand.note({0: counts(1, 100, 100, 100)})
     assert demand.loads_by_set is None
@@ -20,7 +20,7 @@
 
 
 def test_ranks_count_together():
-    """Several ranks are one sample."""
+    """The counts of several ranks form one sample."""
     demand = Demand(SETTINGS)
     demand.note({0: counts(1, 0, 0, 0), 4: counts(1, 0, 0, 0)})
     demand.note({0: counts(1, 6, 0, 0), 4: counts(1, 0, 2, 0)})
@@ -28,7 +28,7 @@
 
 
 def test_newer_looks_weigh_more():
-    """Old demand fades by the weight of the newest look."""
+    """Old demand decays with the weight of the newest sample."""
     demand = Demand(SETTINGS)
     for values in ((0, 0, 0), (10, 0, 0), (10, 10, 0)):
         demand.note({0: counts(1, *values)})
@@ -36,9 +36,9 @@
 
 
 def test_restarted_rank_tells_nothing_at_first():
-    """Symptom: the demand is negative.
+    """Guards against a negative demand.
 
-    Events: a group forms anew, and its ranks count from zero again.
+    A group re-forms, and its ranks count from zero again.
     """
     demand = Demand(SETTINGS)
     demand.note({0: counts(1, 0, 0, 0)})
@@ -48,7 +48,7 @@
 
 
 def test_idle_group_keeps_the_last_demand():
-    """No choices are no news."""
+    """Without selections the estimate does not change."""
     demand = Demand(SETTINGS)
     for _ in range(3):
         demand.note({0: counts(1, 4, 0, 0)})
@@ -56,10 +56,10 @@
 
 
 def test_counts_of_another_start_are_not_subtracted():
-    """Symptom: the experts in demand are taken for idle ones.
+    """Guards against experts in demand that look idle.
 
-    Events: all ranks start anew, so that epochs and counts begin anew as well.  Cause:
-    equal epochs were taken for one and the same.
+    All ranks restart, so epochs and counts restart too, and equal epoch numbers must
+    not be treated as the same epoch.
     """
     demand = Demand(GroupMapSettings())
     demand.note({0: RankCounts(1, 9, [[900, 100]], 5_000)})
--- a/siskinthread/group_maps/tests/test_directory.py
+++ b/siskinthread/group_maps/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Which targets a process takes for ranks of which groups."""
+"""Tests of the directory of ranks and their groups."""
 
 import curio
 
@@ -14,7 +14,7 @@
 
 
 def test_group_is_known_once_all_its_ranks_are():
-    """A group of which one rank did not answer can't be controlled."""
+    """A group can't be controlled while one of its ranks has not responded."""
 
     async def main():
         _, directory, _, clients = build(FakeGroup(RANKS))
@@ -33,11 +33,11 @@
 
 
 def test_rank_whose_entry_has_lapsed_is_remembered_for_a_while():
-    """Symptom: passes take three times as long for 2 s after a failure domain is back.
+    """Guards against long passes for 2 s after a failure domain is back.
 
-    Events: entries of a cut-off domain lapse; its ranks are back and the group forms
-    anew before they are listed again.  Cause: without them the group was not complete,
-    and nobody controlled it.
+    Entries of a cut-off domain lapse; its ranks are back and the group re-forms before
+    they are listed again.  Without a memory of them the group was incomplete, nobody
+    controlled it, and its passes took three times as long.
     """
 
     async def main():
@@ -54,10 +54,10 @@
 
 
 def test_lost_rank_is_forgotten_once_another_listens_at_its_address():
-    """Symptom: orders are refused for 0.4 s after a crashed rank is back.
+    """Guards against orders that are refused for 0.4 s after a rank has restarted.
 
-    Events: a rank crashes and starts as another instance at the same address; its old
-    entry lapses.  Cause: orders went on to the old instance, which is remembered.
+    A rank crashes and starts as another instance at the same address, and its old entry
+    lapses.  Orders still named the old instance, which is remembered.
     """
 
     async def main():
@@ -73,7 +73,7 @@
 
 
 def test_successor_takes_the_place_of_a_lost_rank():
-    """A rank that was replaced is not asked any more once its successor is known."""
+    """A replaced rank gets no more queries once its successor is known."""
 
     async def main():
         group = FakeGroup(RANKS)
@@ -87,9 +87,9 @@
 
 
 def test_places_that_a_peer_knows_are_not_asked_for():
-    """Symptom: 19,000 questions to ranks before the first request.
+    """Guards against 19,000 queries to ranks before the first request.
 
-    Events: 99 entries start, and each asks each of 192 ranks for its place.
+    99 entries start, and each queries each of 192 ranks for its place.
     """
 
     async def main():
--- a/siskinthread/group_maps/tests/test_duty.py
+++ b/siskinthread/group_maps/tests/test_duty.py
@@ -1,4 +1,4 @@
-"""Which groups a process knows and controls, and what its controller does there."""
+"""Tests of which groups a process controls, and of its controllers."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 RANKS = 2
 HOLDINGS = [[(0, 1), (2, 3)]]
-# Passes that are always long, so that each gain counts.
+# Passes are always long, so that each gain is worth a change.
 MODEL = PassModel(0.85, fixed_s=1.0, request_s=0.0)
 LAYOUT = ExpertLayout(
     1, 4, 3, 1, MODEL, copy_s=0.0, report_lag_s=0.01, pass_limit_s=0.12
@@ -57,7 +57,7 @@
 
 
 class CountingClient(FakeClient):
-    """A rank whose requests choose the first expert more and more."""
+    """A rank whose requests mostly select the first expert."""
 
     def __init__(self, group, number, holdings):
         super().__init__(group, number, holdings)
@@ -66,7 +66,7 @@
         self._tokens = 0
 
     async def report(self, wait_s):
-        """Report, unless silent."""
+        """Return the report, unless silent."""
         if self.is_silent:
             raise TargetError("silent")
         if self.breaks:
@@ -75,14 +75,14 @@
         return await super().report(wait_s)
 
     async def counts(self, wait_s):
-        """Count one more second of requests."""
+        """Return the counts after one more second of requests."""
         self._tokens += 100
         one_set = [3 * self._tokens, 0, self._tokens, 0]
         return RankCounts(self._group.epoch, self._group.pass_number, [one_set])
 
 
 class FakeHome:
-    """An entry that controls groups, and sees nothing of their passes."""
+    """An entry that controls groups and sees no passes of them."""
 
     def __init__(self, stalled=()):
         self._stalled = stalled
@@ -96,7 +96,7 @@
         return self.is_candidate
 
     def is_store_away(self):
-        """Return whether nobody reaches the store."""
+        """Return whether no entry reaches the store."""
         return self.is_away
 
     def is_draining(self):
@@ -104,18 +104,18 @@
         return self.drains
 
     def is_heir_of(self, name):
-        """Return whether a silent controller is to be replaced."""
+        """Return whether to stand in for a controller that has stopped sending."""
         return False
 
     def note_controlled(self, names):
-        """Tell nobody."""
+        """Ignore the groups."""
 
     def is_home(self, name, rank_domains):
-        """Return whether a group is controlled from the own failure domain."""
+        """Return whether a group is controlled from this failure domain."""
         return self.home == set(rank_domains)
 
     def is_to_relieve(self, name):
-        """Return whether a group stands still."""
+        """Return whether a group is stalled."""
         return name in self._stalled
 
     def is_broken(self, name):
@@ -123,7 +123,7 @@
         return False
 
     def note_slow(self, name, target_ids):
-        """Use no word of slow targets."""
+        """Ignore slow targets."""
 
     def pass_view(self, name):
         """Return a clock that has seen no pass."""
@@ -131,7 +131,7 @@
 
 
 class FakeShares:
-    """Deals out all shares, until it is told to fail."""
+    """Assigns all shares, until it is set to fail."""
 
     def __init__(self):
         self.is_lost = False
@@ -141,7 +141,7 @@
         self.leave_s = 0.0
 
     async def leave(self):
-        """Note that they were given up."""
+        """Count a hand-over of the shares."""
         await curio.sleep(self.leave_s)
         self.left_count += 1
 
@@ -154,7 +154,7 @@
 
 
 def build(group, stalled=(), settings=SETTINGS):
-    """Return a duty for one group, with its parts."""
+    """Return a `GroupManager` for one group, with its directory, shares and clients."""
     clients = {
         f"i-{number}": CountingClient(group, number, HOLDINGS)
         for number in range(RANKS)
@@ -163,7 +163,7 @@
         lambda entry: clients[entry.instance_id], settings, SYSTEM_CLOCK
     )
     shares = FakeShares()
-    duty = GroupDuty(
+    manager = GroupDuty(
         directory,
         shares,
         lambda instance_id: LAYOUT,
@@ -173,7 +173,7 @@
         MapMeasures(Metrics()),
         random.Random(1),
     )
-    return duty, directory, shares, clients
+    return manager, directory, shares, clients
 
 
 async def until(condition):
@@ -184,19 +184,19 @@
 
 
 def test_refused_versions_are_left_behind():
-    """Symptom: eight changes in a row are refused after a rank was replaced.
+    """Guards against eight refused changes in a row after a rank was replaced.
 
-    Events: another controller has told ranks a version that no report shows yet, some
-    steps higher than the next one that is chosen here.
+    Another controller has sent ranks a version that no report shows yet, and that is
+    some steps higher than the next version chosen here.
     """
 
     async def main():
         group = FakeGroup(RANKS)
         for rank in group.ranks:
             rank.highest = 2_500_000
-        duty, directory, _, clients = build(group)
+        manager, directory, _, clients = build(group)
         await directory.refresh([Entry(one) for one in clients])
-        task = await curio.spawn(duty.run)
+        task = await curio.spawn(manager.run)
         await until(lambda: all(rank.version > 0 for rank in group.ranks))
         await task.cancel()
         prepared = [order for _, order in group.orders if isinstance(order, Prepare)]
@@ -206,13 +206,13 @@
 
 
 def test_uneven_group_gets_a_better_map():
-    """Skewed demand is noticed, and the hot expert gets a second place."""
+    """Skewed demand is detected, and the hot expert gets a second replica."""
 
     async def main():
         group = FakeGroup(RANKS)
-        duty, directory, _, clients = build(group)
+        manager, directory, _, clients = build(group)
         await directory.refresh([Entry(one) for one in clients])
-        task = await curio.spawn(duty.run)
+        task = await curio.spawn(manager.run)
         await until(lambda: all(rank.version > 0 for rank in group.ranks))
         await task.cancel()
         return group
@@ -223,17 +223,17 @@
 
 
 def test_shares_are_taken_from_the_first_group_on():
-    """Guards against paid renewals where there are no groups, and against late ones."""
+    """Guards against renewals without any groups, and against late ones."""
 
     async def main():
         group = FakeGroup(RANKS)
-        duty, directory, shares, clients = build(group)
-        task = await curio.spawn(duty.run)
+        manager, directory, shares, clients = build(group)
+        task = await curio.spawn(manager.run)
         await curio.sleep(5 * SETTINGS.renew_interval_s)
         assert shares.renewed_count == 0
         await directory.refresh([Entry(one) for one in clients])
-        await until(lambda: duty._controllers)
-        # A rank that is gone for a while leaves the shares where they are.
+        await until(lambda: manager._controllers)
+        # The temporary absence of a rank does not end the renewals.
         await directory.refresh([])
         await curio.sleep(2 * SETTINGS.lost_rank_memory_s)
         await directory.refresh([])
@@ -246,39 +246,39 @@
 
 
 def test_lapsed_shares_end_the_control():
-    """Symptom: two processes control one group for long.
+    """Guards against two processes that control one group for long.
 
-    Events: the service that deals out shares is lost for longer than they last.
+    The service that assigns shares is unreachable for longer than they last.
     """
 
     async def main():
-        duty, directory, shares, clients = build(FakeGroup(RANKS))
+        manager, directory, shares, clients = build(FakeGroup(RANKS))
         await directory.refresh([Entry(one) for one in clients])
-        task = await curio.spawn(duty.run)
-        await until(lambda: duty._controllers)
+        task = await curio.spawn(manager.run)
+        await until(lambda: manager._controllers)
         shares.is_lost = True
-        await until(lambda: not duty._controllers)
+        await until(lambda: not manager._controllers)
         shares.is_lost = False
-        await until(lambda: duty._controllers)
+        await until(lambda: manager._controllers)
         await task.cancel()
-        return duty._controllers
+        return manager._controllers
 
     assert curio.run(main) == {}
 
 
 def test_control_that_broke_off_is_taken_up_again():
-    """Symptom: maps are never changed again, and the process looks well.
+    """Guards against maps that never change again without any other sign.
 
-    Events: a rank's answer makes the controller fail in a way nobody thought of.
-    Cause: its task ends, and nothing began another.
+    An unexpected response of a rank makes the task of the controller fail, and a new
+    controller must be started.
     """
 
     async def main():
         group = FakeGroup(RANKS)
-        duty, directory, _, clients = build(group)
+        manager, directory, _, clients = build(group)
         await directory.refresh([Entry(one) for one in clients])
         clients["i-0"].breaks = True
-        task = await curio.spawn(duty.run)
+        task = await curio.spawn(manager.run)
         await curio.sleep(0.1)
         clients["i-0"].breaks = False
         await until(lambda: all(rank.version > 0 for rank in group.ranks))
@@ -288,7 +288,7 @@
 
 
 def test_each_group_falls_to_one_process():
-    """Shares that are dealt out evenly leave no group out and none twice."""
+    """If all shares are assigned, each group has exactly one controller."""
     holders = [Shares({0, 1}, 8), Shares({2, 3, 4}, 8), Shares({5, 6, 7}, 8)]
     for number in range(200):
         name = f"g{number}"
@@ -296,7 +296,7 @@
 
 
 def test_controller_goes_on_after_ranks_that_did_not_answer():
-    """Symptom: maps are never changed again after a cut."""
+    """Guards against maps that never change again after a network cut."""
 
     async def main():
         group = FakeGroup(RANKS)
@@ -326,30 +326,30 @@
 
 
 def test_group_that_another_controller_left_held_is_relieved():
-    """Symptom: a group stands still for 4 s, and callers leave 40 streams.
+    """Guards against a group stalled for 4 s, where callers left 40 streams.
 
-    Events: the host that controls it is stopped in the middle of a change; its share
-    does not pass on before it lapses.
+    The host that controls the group is stopped in the middle of a change, and its share
+    does not move before it expires.
     """
 
     async def main():
         group = FakeGroup(RANKS)
         group.held_pass = group.pass_number + 1
-        duty, directory, shares, clients = build(group, stalled={"g"})
+        manager, directory, shares, clients = build(group, stalled={"g"})
         shares.numbers = set()
         await directory.refresh([Entry(one) for one in clients])
-        task = await curio.spawn(duty.run)
+        task = await curio.spawn(manager.run)
         await until(lambda: group.held_pass is None)
         await curio.sleep(0.1)
         await task.cancel()
         return [rank.version for rank in group.ranks], group.mixed_passes
 
-    # It is released, and nothing is begun there: another process controls it.
+    # The group is released, and no change is started: another process controls it.
     assert curio.run(main) == ([0] * RANKS, [])
 
 
 def test_change_whose_controller_stopped_before_the_release_is_finished_at_once():
-    """Streams stood for 1.7 s, 1 s of it until the change could have been undone."""
+    """Guards against a stall of 1.7 s, 1 s of it waiting until an undo is allowed."""
 
     async def main():
         group = FakeGroup(RANKS)
@@ -358,10 +358,10 @@
             rank.prepared = rank.highest = 2
             rank.armed = (2, group.held_pass)
         settings = SETTINGS.with_values(stuck_limit_s=HANG_S)
-        duty, directory, shares, clients = build(group, {"g"}, settings)
+        manager, directory, shares, clients = build(group, {"g"}, settings)
         shares.numbers = set()
         await directory.refresh([Entry(one) for one in clients])
-        task = await curio.spawn(duty.run)
+        task = await curio.spawn(manager.run)
         await until(lambda: group.held_pass is None)
         await until(lambda: group.ranks[0].version == 2)
         await task.cancel()
@@ -373,15 +373,15 @@
 
 
 def test_group_that_moves_is_left_to_its_controller():
-    """A held group that nobody sees stand still is in the middle of a change."""
+    """A held group that no stream shows as stalled is in the middle of a change."""
 
     async def main():
         group = FakeGroup(RANKS)
         group.held_pass = group.pass_number + 5
-        duty, directory, shares, clients = build(group)
+        manager, directory, shares, clients = build(group)
         shares.numbers = set()
         await directory.refresh([Entry(one) for one in clients])
-        task = await curio.spawn(duty.run)
+        task = await curio.spawn(manager.run)
         await curio.sleep(0.3)
         await task.cancel()
         return group.held_pass
@@ -390,7 +390,7 @@
 
 
 class StartingClient(CountingClient):
-    """A rank that states when it started, and counts how often its map is read."""
+    """A rank that reports its start time and counts the reads of its map."""
 
     def __init__(self, group, number, holdings):
         super().__init__(group, number, holdings)
@@ -399,13 +399,13 @@
         self.failing_reads = 0
 
     async def report(self, wait_s):
-        """Report with the time of the start."""
+        """Return the report with the start time."""
         report = await super().report(wait_s)
         report.started_unix_ms = self.started_unix_ms
         return report
 
     async def held_experts(self, wait_s):
-        """Return the map, unless the read is to fail."""
+        """Return the map, unless the read has to fail."""
         self.reads += 1
         if self.failing_reads:
             self.failing_reads -= 1
@@ -414,21 +414,20 @@
 
 
 def test_map_is_read_anew_when_a_rank_has_started_anew():
-    """Symptom: the map of an earlier start is taken for the one in force.
+    """Guards against using the map of before a restart as the map in force.
 
-    Events: all ranks start anew, with the same number of an epoch, and the first read
-    of their map fails.
+    All ranks restart with the same epoch number, and the first read of their map fails.
     """
 
     async def main():
         group = FakeGroup(RANKS)
-        duty, directory, _, clients = build(group)
+        manager, directory, _, clients = build(group)
         for number, one in enumerate(list(clients)):
             clients[one] = StartingClient(group, number, HOLDINGS)
         first = clients["i-0"]
         await directory.refresh([Entry("i-0"), Entry("i-1")])
-        await duty._renew()
-        await duty._reconcile()
+        await manager._renew()
+        await manager._reconcile()
         async with curio.timeout_after(HANG_S):
             while not first.reads:
                 await curio.sleep(0.005)
@@ -440,6 +439,6 @@
             before = first.reads
             while first.reads == before:
                 await curio.sleep(0.005)
-        await duty._stop_all()
+        await manager._stop_all()
 
     curio.run(main)
--- a/siskinthread/group_maps/tests/test_hand_over.py
+++ b/siskinthread/group_maps/tests/test_hand_over.py
@@ -1,4 +1,4 @@
-"""When control of a group passes on, and what becomes of its change."""
+"""Hand-over of the control of a group, and completion of its change."""
 
 import curio
 
@@ -17,27 +17,27 @@
 
 
 def test_group_is_controlled_from_its_home_and_by_candidates_only():
-    """Symptom: changes of maps come late, and cross domains or slow links.
+    """Guards against late map changes across domains or slow links.
 
-    Events: the store deals the share of a group to an entry far from its ranks, or to
-    one with a slow link.
+    The store assigns the share of a group to an entry far from its ranks, or to one
+    with a slow link.
     """
 
     async def main():
-        duty, directory, shares, _ = build(FakeGroup(RANKS))
+        manager, directory, shares, _ = build(FakeGroup(RANKS))
         await directory.refresh([Entry("i-0"), Entry("i-1")])
-        home = duty._home
+        home = manager._home
         home.home = {"b"}
-        await duty._renew()
-        await duty._reconcile()
-        elsewhere = list(duty._controllers)
+        await manager._renew()
+        await manager._reconcile()
+        elsewhere = list(manager._controllers)
         home.home = {"a"}
-        await duty._reconcile()
-        at_home = list(duty._controllers)
+        await manager._reconcile()
+        at_home = list(manager._controllers)
         home.is_candidate = False
-        await duty._renew()
-        left = list(duty._controllers)
-        await duty._stop_all()
+        await manager._renew()
+        left = list(manager._controllers)
+        await manager._stop_all()
         return elsewhere, at_home, left, shares.left_count
 
     elsewhere, at_home, left, left_count = curio.run(main)
@@ -47,27 +47,27 @@
 
 
 def test_control_that_passes_on_finishes_its_change_first():
-    """Symptom: a group stands still for 1.8 s, and its callers leave.
+    """Guards against a group that stalls for 1.8 s, so that callers disconnect.
 
-    Events: the shares of a controller lapse while its change holds the group.  Cause:
-    it was ended in the middle of the change.
+    The shares of a controller expire while its change holds the group, and the
+    controller is cancelled in the middle of the change.
     """
 
     async def main():
         group = FakeGroup(RANKS)
-        duty, directory, _, clients = build(group)
+        manager, directory, _, clients = build(group)
         await directory.refresh([Entry("i-0"), Entry("i-1")])
         ended_while_held = False
-        await duty._renew()
-        await duty._reconcile()
+        await manager._renew()
+        await manager._reconcile()
         async with curio.timeout_after(HANG_S):
             while not ended_while_held:
                 if group.held_pass is not None:
                     ended_while_held = True
-                    duty._held = None
-                    await duty._reconcile()
+                    manager._held_shares = None
+                    await manager._reconcile()
                 await curio.sleep(0)
-        return group.held_pass, list(duty._controllers)
+        return group.held_pass, list(manager._controllers)
 
     held, controllers = curio.run(main)
     assert held is None
@@ -75,14 +75,14 @@
 
 
 class MuteClient(CountingClient):
-    """A rank that does not answer the first hold."""
+    """A rank that does not respond to the first hold."""
 
     def __init__(self, group, number, holdings):
         super().__init__(group, number, holdings)
         self.is_mute = True
 
     async def order(self, order, wait_s):
-        """Carry an order out; wait in vain for the answer to the first hold."""
+        """Carry out an order, but let the first hold time out."""
         result = await super().order(order, wait_s)
         if isinstance(order, Hold) and self.is_mute:
             self.is_mute = False
@@ -92,73 +92,73 @@
 
 
 def test_order_without_an_answer_does_not_stop_its_controller():
-    """Symptom: a group gets no new map for 25 s, and stands still for 1.7 s.
+    """Guards against a group that gets no new map for 25 s and stalls for 1.7 s.
 
-    Events: the answer to a hold is lost.  Cause: the change ran where its controller
-    could not be cancelled, and there the wait for the answer had no limit either.
+    The response to a hold is lost.  The change ran with cancellation disabled in its
+    controller's task, where the timeout of the response had no effect either.
     """
 
     async def main():
         group = FakeGroup(RANKS)
-        duty, directory, _, clients = build(group)
+        manager, directory, _, clients = build(group)
         for number, one in enumerate(list(clients)):
             clients[one] = MuteClient(group, number, HOLDINGS)
         await directory.refresh([Entry("i-0"), Entry("i-1")])
-        await duty._renew()
-        await duty._reconcile()
+        await manager._renew()
+        await manager._reconcile()
         async with curio.timeout_after(HANG_S):
             while group.ranks[0].version == 0:
                 await curio.sleep(0.01)
-        await duty._stop_all()
+        await manager._stop_all()
 
     curio.run(main)
 
 
 def test_shares_are_kept_while_the_store_is_away_for_all():
-    """Symptom: no map changes for the rest of an outage, while the demand shifts.
+    """Guards against shares that expire in an outage, which stops map changes.
 
-    Events: the store is away for longer than shares last.  Cause: they lapsed, though
-    nobody else could get them.
+    The store is unreachable for longer than shares last, while the demand shifts. No
+    other entry could get the shares.
     """
 
     async def main():
-        duty, directory, shares, _ = build(FakeGroup(RANKS))
+        manager, directory, shares, _ = build(FakeGroup(RANKS))
         await directory.refresh([Entry("i-0"), Entry("i-1")])
-        await duty._renew()
+        await manager._renew()
         shares.is_lost = True
-        duty._home.is_away = True
+        manager._home.is_away = True
         await curio.sleep(SETTINGS.share_lapse_s)
-        await duty._renew()
-        await duty._reconcile()
-        kept = list(duty._controllers)
-        duty._home.is_away = False
-        await duty._renew()
-        await duty._reconcile()
-        lapsed = list(duty._controllers)
-        await duty._stop_all()
+        await manager._renew()
+        await manager._reconcile()
+        kept = list(manager._controllers)
+        manager._home.is_away = False
+        await manager._renew()
+        await manager._reconcile()
+        lapsed = list(manager._controllers)
+        await manager._stop_all()
         return kept, lapsed
 
     assert curio.run(main) == (["g"], [])
 
 
 def test_drain_waits_until_the_shares_are_handed_over():
-    """Symptom: a group has no controller for 3 s after a planned stop.
+    """Guards against a group without a controller for 3 s after a planned stop.
 
-    Events: the drain of an idle entry ends before its shares are given up.
+    The drain of an idle entry ends before its shares are handed over.
     """
 
     async def main():
-        duty, directory, shares, _ = build(FakeGroup(RANKS))
+        manager, directory, shares, _ = build(FakeGroup(RANKS))
         shares.leave_s = 0.2
         await directory.refresh([Entry("i-0"), Entry("i-1")])
-        task = await curio.spawn(duty.run)
-        await until(lambda: duty.controlled_groups())
-        duty._home.drains = True
-        in_time = await duty.hand_over(0.05)
-        is_done = await duty.hand_over(HANG_S)
-        left_count, groups = shares.left_count, duty.controlled_groups()
+        task = await curio.spawn(manager.run)
+        await until(lambda: manager.controlled_groups())
+        manager._home.drains = True
+        in_time = await manager.hand_over(0.05)
+        is_done = await manager.hand_over(HANG_S)
+        left_count, groups = shares.left_count, manager.controlled_groups()
         await curio.sleep(3 * SETTINGS.renew_interval_s)
-        taken_up = duty.controlled_groups()
+        taken_up = manager.controlled_groups()
         await task.cancel()
         return in_time, is_done, left_count, groups, taken_up
 
--- a/siskinthread/group_maps/tests/test_look_times.py
+++ b/siskinthread/group_maps/tests/test_look_times.py
@@ -1,6 +1,11 @@
-"""When demand is counted, by the passes that own streams show."""
-
-from siskinthread.group_maps import GroupMapSettings, LookCause, LookTimes, PassClock
+"""Tests of when demand is sampled, by the passes that own streams show."""
+
+from siskinthread.group_maps import (
+    GroupMapSettings,
+    PassClock,
+    SampleCause,
+    SampleSchedule,
+)
 from siskinthread.timing import ManualClock
 
 PASS_LIMIT_S = 0.12
@@ -14,31 +19,33 @@
     def __init__(self):
         self.clock = ManualClock()
         self.passes = PassClock()
-        self.look_times = LookTimes(self.passes, PASS_LIMIT_S, SETTINGS, self.clock)
+        self.sample_schedule = SampleSchedule(
+            self.passes, PASS_LIMIT_S, SETTINGS, self.clock
+        )
 
     def run_pass(self, pass_s):
-        """Let a pass end; its events arrive 2 ms apart."""
+        """Run a pass; its events arrive 2 ms apart."""
         self.clock.advance(pass_s - 0.002)
         self.passes.event_came(self.clock.monotonic_s())
         self.clock.advance(0.002)
         self.passes.event_came(self.clock.monotonic_s())
 
     def run_passes(self, pass_s, count):
-        """Let passes of the same length end."""
+        """Run passes of the same length."""
         for _ in range(count):
             self.run_pass(pass_s)
 
 
-def looked_at(pass_s=QUICK_PASS_S):
-    """Return a group whose demand was counted just now, with passes of a length."""
+def sampled_group(pass_s=QUICK_PASS_S):
+    """Return a group with passes of one length whose demand was just sampled."""
     group = Group()
     group.run_passes(pass_s, 20)
-    group.look_times.note_look()
+    group.sample_schedule.note_sample()
     return group
 
 
 def test_events_of_one_pass_count_once():
-    """The spread of events within a pass is not taken for a pass."""
+    """The spread of events within a pass does not count as a pass."""
     group = Group()
     group.run_passes(QUICK_PASS_S, 20)
     assert group.passes.count == 19
@@ -46,44 +53,44 @@
 
 
 def test_rest_without_streams_is_no_pass():
-    """Symptom: an idle second looks like a shift of the demand."""
-    group = looked_at()
+    """Guards against an idle second that counts as a shift of the demand."""
+    group = sampled_group()
     group.passes.stop()
     group.clock.advance(1.0)
-    assert group.look_times.cause() is None
+    assert group.sample_schedule.cause() is None
     group.run_passes(QUICK_PASS_S, 2)
     assert group.passes.latest_s < 2 * QUICK_PASS_S
 
 
 def test_first_look_is_due_at_once():
-    """A controller that knows nothing counts first."""
-    assert Group().look_times.cause() is LookCause.ROUTINE
+    """A new controller samples the demand first."""
+    assert Group().sample_schedule.cause() is SampleCause.ROUTINE
 
 
 def test_shift_is_seen_before_its_first_pass_ends():
-    """Symptom: streams of a whole group are late for seconds after demand has shifted.
+    """Guards against late streams of a whole group for seconds after a shift.
 
-    Events: passes of 0.05 s, then one that takes 0.15 s.  Cause: the demand was counted
-    once a second, whatever passes showed.
+    After passes of 0.05 s one pass takes 0.15 s.  Sampling once a second, regardless of
+    pass times, detects this too late.
     """
-    group = looked_at()
+    group = sampled_group()
     group.run_passes(QUICK_PASS_S, 6)
-    assert group.look_times.cause() is None
+    assert group.sample_schedule.cause() is None
     group.clock.advance(0.08)
-    assert group.look_times.cause() is LookCause.JUMP
+    assert group.sample_schedule.cause() is SampleCause.JUMP
 
 
 def test_longer_passes_that_are_in_time_are_left_alone():
-    """A count is paid for; streams are in time with passes of 0.03 s and 0.06 s."""
-    group = looked_at(0.03)
+    """No sample is due: streams are in time with passes of 0.03 s and 0.06 s."""
+    group = sampled_group(0.03)
     group.run_passes(0.06, 6)
-    assert group.look_times.cause() is None
+    assert group.sample_schedule.cause() is None
 
 
 def test_long_passes_are_looked_at_again_and_again():
-    """Demand is not counted often for passes that stay long for another reason."""
-    group = looked_at(0.1)
+    """Demand is sampled at intervals while passes stay long for another reason."""
+    group = sampled_group(0.1)
     group.run_passes(0.1, 9)
-    assert group.look_times.cause() is None
+    assert group.sample_schedule.cause() is None
     group.run_passes(0.1, 2)
-    assert group.look_times.cause() is LookCause.LONG_PASSES
+    assert group.sample_schedule.cause() is SampleCause.LONG_PASSES
--- a/siskinthread/group_maps/tests/test_lost_orders.py
+++ b/siskinthread/group_maps/tests/test_lost_orders.py
@@ -1,4 +1,4 @@
-"""Changes of groups whose ranks leave orders unanswered, replayed in virtual time."""
+"""Replays of changes in groups that leave orders unanswered, in virtual time."""
 
 import random
 
@@ -12,17 +12,17 @@
 
 SETTINGS = GroupMapSettings()
 SEEDS = 20
-MOST_TRIES = 20
+MAX_ATTEMPTS = 20
 
 
 @pytest.mark.parametrize("size", [15, 24, 32, 96])
 @pytest.mark.parametrize("pass_s", [0.03, 0.06, 0.1])
 def test_group_does_not_stall_while_half_of_the_orders_are_unanswered(size, pass_s):
-    """Symptom: the group stalls for 0.3 s to 0.5 s at the held pass.
+    """Guards against a group that stalls for 0.3 s to 0.5 s at the held pass.
 
-    Events: half of the orders are unanswered and executed 2 s to 12 s later, after
-    newer ones.  Cause: each of them was waited for 0.1 s, and the pass was not held
-    far enough ahead for that.
+    Half of the orders are unanswered and executed 2 s to 12 s later, after newer ones.
+    This happens with a timeout of 0.1 s for each, and a held pass that is not far
+    enough ahead for that.
     """
     runs = [
         run_in_virtual_time(play, size, pass_s, 0.5, seed, SETTINGS)
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("size", [15, 96])
 def test_orders_are_hardly_repeated_without_a_fault(size):
-    """Guards against repeats that are paid for because a timeout was too short."""
+    """Guards against costly retries because of a too short timeout."""
     needed = sent = 0
     for seed in range(SEEDS):
         measured = run_in_virtual_time(play, size, 0.05, 0.0, seed, SETTINGS)
@@ -47,10 +47,10 @@
 
 @pytest.mark.parametrize("share", [0.0, 0.5])
 def test_map_for_96_ranks_gets_over_a_slow_link(share):
-    """Symptom: orders to prepare are repeated while the first ones still leave.
+    """Guards against retries of prepare orders while the first are being sent.
 
-    Events: a map of some 20 KB goes to 96 ranks over 14 Mbit/s, which takes 1.3 s.
-    Cause: the timeout followed the responses to small orders.
+    A map of some 20 KB goes to 96 ranks over 14 Mbit/s, which takes 1.3 s, while the
+    timeout follows the responses to small orders.
     """
 
     async def main(clock):
@@ -61,7 +61,7 @@
         first = await replay.change()
         orders = replay.group.order_count
         timeout_s = replay.ranks._timeouts.first_s(5)
-        # The next change can't begin before the pass of this one.
+        # The next change can't start before the pass of this one.
         await curio.sleep(1.0)
         return first, await replay.change(), orders, timeout_s
 
@@ -72,8 +72,8 @@
     assert timeout_s <= SETTINGS.order_wait_s
 
 
-def dying(dead, after_s):
-    """Return a disturbance: ranks neither execute nor answer from then on."""
+def kill_ranks(dead, after_s):
+    """Return a disturbance: ranks neither execute nor respond after a while."""
 
     async def disturb(replay):
         await curio.sleep(after_s)
@@ -85,33 +85,33 @@
 @pytest.mark.parametrize("after_s", [0.0, 0.01, 0.25])
 @pytest.mark.parametrize("dead", [{7}, set(range(8, 16))])
 def test_dead_rank_or_domain_gets_few_orders(dead, after_s):
-    """Guards against orders without end to ranks that died or were cut off.
+    """Guards against endless orders to ranks that died or were cut off.
 
-    They do so before or during a change, and half of the other orders are unanswered.
-    Once they are back, the group goes on.
+    This happens before or during a change, while half of the other orders are
+    unanswered.  Once the ranks are back, the group continues.
     """
 
     async def main(clock):
         replay = Replay(clock, 24, 0.05, 0.5, 3, SETTINGS)
-        result = await replay.change(dying(dead, after_s))
-        tries = max(client.most_tries for client in replay.clients)
+        result = await replay.change(kill_ranks(dead, after_s))
+        attempts = max(client.max_attempts for client in replay.clients)
         was_held = replay.group.held_pass is not None
         replay.group.dead.clear()
         await replay.settle()
         before = replay.group.pass_number
         await curio.sleep(1.0)
         assert replay.group.pass_number > before
-        return result, tries, was_held, replay.group.mixed_passes
+        return result, attempts, was_held, replay.group.mixed_passes
 
-    result, tries, was_held, mixed_passes = run_in_virtual_time(main)
-    assert tries <= MOST_TRIES
+    result, attempts, was_held, mixed_passes = run_in_virtual_time(main)
+    assert attempts <= MAX_ATTEMPTS
     assert not mixed_passes
     if after_s < 0.2:
         assert (result, was_held) == (ChangeResult.NOT_BEGUN, False)
 
 
 def test_slow_rank_gets_its_orders_once():
-    """Guards against each order repeated to a rank that is 12 times slower."""
+    """Guards against retries of each order to a rank that is 12 times slower."""
 
     async def main(clock):
         replay = Replay(clock, 16, 0.05, 0.0, 5, SETTINGS)
@@ -124,16 +124,16 @@
 
     results, orders = run_in_virtual_time(main)
     assert set(results) == {ChangeResult.IN_FORCE}
-    # Prepare and arm at each rank, a release, and holds of passes that have begun.
+    # Prepare and arm at each rank, a release, and holds of passes that have started.
     assert orders <= 2 * 16 + 1 + 3
 
 
 def test_pause_of_the_controller_is_no_lost_response():
-    """Symptom: after a pause of its process a controller repeats answered orders.
+    """Guards against retries of answered orders after a pause of the process.
 
-    Events: the process stands still for 0.3 s while it waits for 16 responses, all of
-    which arrive.  Cause: the wait is over when the process goes on.  The pause isn't
-    taken for a response time either.
+    The process is paused for 0.3 s while it waits for 16 responses, all of which
+    arrive. Timeouts have expired when it continues.  The pause must not count as a
+    response time either.
     """
 
     async def main(clock):
@@ -144,15 +144,20 @@
             await curio.sleep(0.002)
             clock.advance(0.3)
 
-        before = replay.ranks.tries.copy()
+        before = replay.ranks.attempts.copy()
         timeouts_s = [replay.ranks._timeouts.first_s(rank) for rank in range(16)]
         result = await replay.change(pause)
         after_s = [replay.ranks._timeouts.first_s(rank) for rank in range(16)]
-        return result, replay.ranks.tries.repeats - before.repeats, timeouts_s, after_s
-
-    result, repeats, before_s, after_s = run_in_virtual_time(main)
+        return (
+            result,
+            replay.ranks.attempts.retries - before.retries,
+            timeouts_s,
+            after_s,
+        )
+
+    result, retries, before_s, after_s = run_in_virtual_time(main)
     assert result is ChangeResult.IN_FORCE
-    assert repeats == 0
+    assert retries == 0
     assert max(after_s) < 2 * max(before_s)
 
 
@@ -176,8 +181,8 @@
         assert run_in_virtual_time(main, seed) == ([], True)
 
 
-def looks_at(size, share, dead=frozenset()):
-    """Return how many of 20 looks got all reports, and the reports asked for."""
+def poll_reports(size, share, dead=frozenset()):
+    """Return how many of 20 polls got all reports, and the number of requests."""
 
     async def main(clock):
         replay = Replay(clock, size, 0.05, 0.0, 2, SETTINGS)
@@ -197,16 +202,16 @@
 
 
 def test_lost_report_is_asked_for_again():
-    """Symptom: a group of 96 ranks can't be looked at while 1 of 33 reports is lost.
+    """Guards against failing polls of 96 ranks while 1 of 33 reports is lost.
 
-    Cause: all reports of a look were asked for once, and the look fails without one.
+    A poll fails if any report is missing, so reports need a retry.
     """
-    complete, asked = looks_at(96, 0.03)
+    complete, asked = poll_reports(96, 0.03)
     assert complete >= 18
     assert asked <= 1.06 * 20 * 96
-    assert looks_at(96, 0.0) == (20, 20 * 96)
+    assert poll_reports(96, 0.0) == (20, 20 * 96)
 
 
 def test_silent_rank_is_asked_again_only_at_first():
-    """Guards against twice as many questions to ranks that are dead or cut off."""
-    assert looks_at(15, 0.0, {4}) == (0, 20 * 15 + 1)
+    """Guards against twice as many queries to ranks that are dead or cut off."""
+    assert poll_reports(15, 0.0, {4}) == (0, 20 * 15 + 1)
--- a/siskinthread/group_maps/tests/test_planner.py
+++ b/siskinthread/group_maps/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Plans: small, possible, and better than before."""
+"""Tests that plans are small, feasible and better than the map in force."""
 
 import random
 
@@ -23,13 +23,13 @@
 
 
 def first_map():
-    """Return the map that deals the experts out in turn."""
+    """Return the map with the experts assigned round-robin."""
     ranks = [tuple(range(rank, 16, RANKS)) for rank in range(RANKS)]
     return GroupMap(0, [ranks] * LAYOUT.set_count, LAYOUT.expert_count)
 
 
 def skewed(seed):
-    """Return loads where a few experts have most."""
+    """Return loads where a few experts have most of the load."""
     draw = random.Random(seed)
     return [
         [draw.random() ** 6 + 0.01 for _ in range(LAYOUT.expert_count)]
@@ -40,7 +40,7 @@
 @given(st.integers(0, 10_000))
 @hypothesis_settings(max_examples=60)
 def test_plans_keep_the_limits_and_help(seed):
-    """No rank gets more than it may, every expert stays held, no plan is worse."""
+    """Plans respect all limits, keep every expert, and are never worse."""
     loads = skewed(seed)
     group_map = first_map()
     for version in range(1, 4):
@@ -64,7 +64,7 @@
 
 
 def test_few_small_changes_even_a_strong_skew_out():
-    """Three changes of three copies bring a hot expert's group near to even."""
+    """Three changes of three copies bring a group with a hot expert near to even."""
     loads = [[20.0] + [1.0] * 15, [1.0] * 15 + [20.0]]
     group_map = first_map()
     before = relative_pass_time(group_map.holdings, loads, MODEL.expert_share, EVEN)
@@ -83,10 +83,10 @@
 
 
 def test_slow_rank_gets_less_to_do():
-    """Symptom: a whole group is slow for as long as one of its ranks is.
+    """Guards against a whole group that is slow while one of its ranks is.
 
-    Events: one rank takes twice as long for the same work.  Part of its experts' load
-    goes to replicas on other ranks.
+    One rank takes twice as long for the same work.  A part of the load of its experts
+    must move to replicas on other ranks.
     """
     slowness = [2.0, 1.0, 1.0, 1.0]
     loads = [[1.0] * 16] * 2
@@ -102,10 +102,10 @@
 
 
 def test_very_slow_rank_gives_its_experts_away():
-    """Symptom: passes of a whole group take ten times as long for seconds.
+    """Guards against passes that take ten times as long for seconds.
 
-    Events: one rank takes twelve times as long for the same work.  Cause: experts were
-    only added to other ranks, and the slow one still did its part of each.
+    One rank takes twelve times as long for the same work.  If experts are only
+    replicated to other ranks, the slow rank still does its share of each.
     """
     slowness = [12.0, 1.0, 1.0, 1.0]
     loads = [[1.0] * 16] * 2
@@ -122,9 +122,9 @@
 
 
 def test_slow_rank_without_requests_holds_others_back_by_less():
-    """Symptom: maps change three times a second while one rank is slow.
+    """Guards against maps that change three times a second with one slow rank.
 
-    Cause: the time of a pass was reckoned as if it still had its part of the requests.
+    The predicted pass time must not include a full share of requests for the slow rank.
     """
     slowness = [4.0, 1.0, 1.0, 1.0]
     loads = [[0.0] * 4 + [1.0] * 12] * 2
@@ -136,7 +136,7 @@
 
 
 def large_group():
-    """Return map, loads and layout of a group of 96 ranks with 3 places each."""
+    """Return map, loads and layout of a group of 96 ranks with 3 slots each."""
     draw = random.Random(1)
     rank_count, set_count, expert_count, place_count = 96, 16, 192, 3
     ranks = [
@@ -153,12 +153,12 @@
 
 
 def test_plan_of_a_large_group_is_searched_in_small_pieces():
-    """Symptom: an entry answers nothing for 6 s each time it plans.
+    """Guards against an entry that is blocked for 6 s each time it plans.
 
-    Events: the demand of 96 ranks shifts, and their controller plans three changes.
-    Cause: each step searched all sets anew, and looked at all ranks for each candidate.
-    A step now searches the set that it changed, and those that meant to use its rank:
-    some 3 pieces a step, where it was 16.
+    The demand of 96 ranks shifts, and their controller plans three changes.  A step
+    must search only the changed set and the sets whose steps use its rank, about 3
+    units of work per step; searching all sets took 16, each over all ranks for each
+    candidate.
     """
     group_map, loads, layout = large_group()
     slowness = [1.0] * len(group_map.holdings[0])
@@ -171,7 +171,7 @@
 
 
 def test_search_may_end_with_the_plan_that_is_enough():
-    """A plan does not depend on whether those behind it are searched."""
+    """A plan does not depend on whether later plans are searched."""
     group_map, loads, layout = large_group()
     arguments = (group_map, loads, [1.0] * 96, layout, SETTINGS, 2)
     search = search_plans(*arguments)
--- a/siskinthread/group_maps/tests/test_shift_replay.py
+++ b/siskinthread/group_maps/tests/test_shift_replay.py
@@ -1,4 +1,4 @@
-"""Replays of shifting demand: how many passes are late until the map follows."""
+"""Replays of shifting demand that count late passes until the map follows."""
 
 import random
 
@@ -21,8 +21,8 @@
 from siskinthread.observability import Metrics
 from siskinthread.timing import SYSTEM_CLOCK
 
-# Half of the times of an engine whose streams permit a pause of 0.12 s and that copies
-# an expert in 0.4 s; the ranks are fewer.
+# Half of the times of an engine whose streams tolerate a pause of 0.12 s and that
+# copies an expert in 0.4 s; with fewer ranks.
 RANKS, EXPERTS = 6, 48
 PASS_LIMIT_S = 0.06
 MODEL = PassModel(0.85, fixed_s=0.009, request_s=0.0036)
@@ -30,12 +30,12 @@
 RUNNING = 4
 CALM_S = 0.8
 AFTER_S = 1.6
-# As a controller would be that counts as a matter of routine only.
+# Settings of a controller with routine samples only.
 WITHOUT_JUMPS = {"jump_ratio": 1000.0}
 
 
-def times_of(**changes):
-    """Return the settings, with times as short as those of the engine here."""
+def settings_with(**changes):
+    """Return settings with times that fit the engine of these tests."""
     values = {
         "glance_interval_s": 0.25,
         "look_limit_s": 1.5,
@@ -49,40 +49,40 @@
 
 
 def demand(hottest):
-    """Return a demand where one expert has two fifths of a set."""
+    """Return a demand where one expert has two fifths of the load of a set."""
     loads = [0.6 / (EXPERTS - 1)] * EXPERTS
     loads[hottest] = 0.4
     return [loads]
 
 
-def told_each(clock, interval_s):
-    """Return what peers tell of a `PassClock`, some times a second."""
-    told = []
+def reported_each(clock, interval_s):
+    """Return a callable that gives the newest report of peers on a `PassClock`."""
+    reported = []
 
-    def newest_told():
+    def newest_reported():
         now_s = SYSTEM_CLOCK.monotonic_s()
         pass_s = clock.current_s(now_s)
         if pass_s is not None and (
-            not told or now_s - told[-1].heard_at_s > interval_s
+            not reported or now_s - reported[-1].received_at_s > interval_s
         ):
-            told.append(ToldPass(pass_s, now_s))
-        return told[-1] if told else None
+            reported.append(ToldPass(pass_s, now_s))
+        return reported[-1] if reported else None
 
-    return newest_told
+    return newest_reported
 
 
 def late_passes(settings, shift_after_s=CALM_S, build_view=None):
-    """Return how many passes are longer than permitted after a shift of the demand.
+    """Return how many passes are too long after a shift of the demand.
 
     Parameters
     ----------
     settings : GroupMapSettings
-        Times of the controller.
+        Intervals of the controller.
     shift_after_s : float
-        When the demand shifts.
+        Time of the shift, seconds.
     build_view : callable, optional
-        Returns how the controller sees the passes, from the clock of all streams; it
-        sees them all without it.
+        Takes the clock of all streams and returns the pass times that the controller
+        sees; it sees all passes by default.
     """
 
     async def main():
@@ -117,39 +117,45 @@
 
 
 def test_map_follows_a_shift_within_the_time_of_a_copy_and_some_passes():
-    """Symptom: half of all streams are late while demand shifts every few seconds.
+    """Guards against half of all streams being late while demand keeps shifting.
 
-    Events: passes of 0.03 s, then another expert is in demand and each takes 0.07 s; an
-    expert is copied in 0.2 s.  Cause: demand was counted at most once in 0.5 s, and the
-    end of copying and the pass to hold were known only by reports.
+    Passes grow from 0.03 s to 0.07 s as another expert gets in demand; a copy takes
+    0.2 s.  The map follows late if demand is sampled at most every 0.5 s, and if the
+    end of copying and the pass to hold are known only from reports.
 
-    Copying takes three passes, the counts two, and a few go by in seeing and arming.
-    On a calm day with twelve ranks the share of streams in time rose from 0.34 to 0.90.
+    Copying takes three passes, the counts two, and detecting and arming a few more.  In
+    a run with twelve ranks and no faults the share of streams in time rose from 0.34 to
+    0.90.
     """
-    assert late_passes(times_of()) <= 11
+    assert late_passes(settings_with()) <= 11
 
 
 def test_looking_when_passes_grow_beats_looking_as_a_matter_of_routine():
-    """The shift comes just after a count, so that routine takes long to see it."""
-    with_jumps = [late_passes(times_of(), at_s) for at_s in (0.75, 0.9)]
-    without = [late_passes(times_of(**WITHOUT_JUMPS), at_s) for at_s in (0.75, 0.9)]
+    """The shift comes just after a sample, so routine samples detect it late."""
+    with_jumps = [late_passes(settings_with(), at_s) for at_s in (0.75, 0.9)]
+    without = [
+        late_passes(settings_with(**WITHOUT_JUMPS), at_s) for at_s in (0.75, 0.9)
+    ]
     assert sum(with_jumps) < sum(without)
 
 
 def test_controller_without_streams_goes_by_what_peers_tell():
-    """Symptom: streams of two failure domains are late for 3 s after each shift.
+    """Guards against streams of two failure domains late for 3 s after a shift.
 
-    Events: the controller of a group has no stream there when the demand shifts,
-    while other entries have.  Cause: it saw the shift only at its next routine count.
-    On a calm day with 32 entries 627 of 3,603 streams were late.
+    The controller of a group has no stream there when the demand shifts, while other
+    entries have.  Without reports of peers it detects the shift only with its next
+    routine sample.  In a run with 32 entries and no faults 627 of 3,603 streams were
+    late.
     """
 
     def blind(clock):
         return PassView(PassClock(), lambda: None)
 
-    def told(clock):
-        return PassView(PassClock(), told_each(clock, 0.05))
+    def reported(clock):
+        return PassView(PassClock(), reported_each(clock, 0.05))
 
-    with_word = [late_passes(times_of(), at_s, told) for at_s in (0.75, 0.9)]
-    without = [late_passes(times_of(), at_s, blind) for at_s in (0.75, 0.9)]
-    assert sum(with_word) < 0.7 * sum(without)
+    with_reports = [
+        late_passes(settings_with(), at_s, reported) for at_s in (0.75, 0.9)
+    ]
+    without = [late_passes(settings_with(), at_s, blind) for at_s in (0.75, 0.9)]
+    assert sum(with_reports) < 0.7 * sum(without)
--- a/siskinthread/group_maps/tests/timed_group.py
+++ b/siskinthread/group_maps/tests/timed_group.py
@@ -9,55 +9,56 @@
 from siskinthread.group_maps._ranks import order_size_bytes
 from siskinthread.group_maps.tests.fake_group import FakeClient, FakeGroup
 
-# Round trips to ranks, and what a rank adds to them: the least, and the mean above it.
+# Range of round-trip times to ranks, shortest processing time of a rank, and mean of
+# the additional time.
 ROUND_TRIPS_S = (0.001, 0.012)
 LEAST_WORK_S = 0.001
 WORK_S = 0.002
-# When an order without a response is executed.
+# Range of the delay of an order without a response.
 LATE_S = (2.0, 12.0)
 HELD_LOOK_S = 0.001
 
 
 class TimedGroup(FakeGroup):
-    """Ranks that leave a part of the orders unanswered and execute them late.
+    """Ranks that leave some orders unanswered and execute them late.
 
     Parameters
     ----------
     rank_count : int
-        Ranks.
+        Number of ranks.
     pass_s : float
         Time of a pass, seconds.
     unanswered_share : float
-        Part of the orders without a response.
+        Fraction of the orders without a response.
     rng : random.Random
-        Chooses them, and all times.
+        Source of all random choices and times.
     clock : siskinthread.timing.Clock
-        Clock.
+        Clock for all times.
 
     Attributes
     ----------
     slowness : dict of int to float
-        How many times longer a rank works for a response.
+        Factor on the processing time, by rank.
     dead : set of int
-        Ranks that execute and answer nothing.
+        Ranks that neither execute orders nor respond.
     order_count : int
-        Tries of orders.
+        Number of attempts to send orders.
     longest_stall_s : float
         Longest time for which a held pass was due, seconds.
     unanswered_report_share : float
-        Part of the reports without a response.
+        Fraction of the reports without a response.
     report_count : int
-        Tries of reports.
+        Number of attempts to read reports.
     link_rate_bytes_s : float
-        Rate of the link that all orders share.
+        Rate of the link that all orders share, bytes per second.
     is_running : bool
-        Whether passes are run already.
+        Whether passes are running.
     switched_s : float or None
         When the first new map came into force, monotonic seconds.
     """
 
     def __init__(self, rank_count, pass_s, unanswered_share, rng, clock):
-        super().__init__(rank_count, passes_an_order=0)
+        super().__init__(rank_count, passes_per_order=0)
         self.pass_s = pass_s
         self.unanswered_share = unanswered_share
         self.rng = rng
@@ -74,7 +75,7 @@
         self.is_running = False
 
     async def run_passes(self):
-        """Begin one pass after the other until cancelled."""
+        """Run passes until cancelled."""
         while True:
             due_s = self.clock.monotonic_s()
             before = self.pass_number
@@ -89,27 +90,27 @@
             await curio.sleep(self.pass_s)
 
     def sending_s(self, order):
-        """Return the time until an order has left over the link, seconds."""
+        """Return the time until an order has been sent over the link, seconds."""
         now_s = self.clock.monotonic_s()
         order_s = order_size_bytes(order) / self.link_rate_bytes_s
         self._link_free_s = max(now_s, self._link_free_s) + order_s
         return self._link_free_s - now_s
 
     async def execute_late(self, number, order):
-        """Execute an order whose response nobody awaits any more."""
+        """Execute an order after its sender has stopped waiting for the response."""
         await curio.sleep(self.rng.uniform(*LATE_S))
         self.carry_out(number, order)
 
 
 class TimedClient(FakeClient):
-    """One rank of a `TimedGroup` as a controller sees it.
+    """Client of one rank of a `TimedGroup`, as a controller uses it.
 
     Attributes
     ----------
     round_trip_s : float
-        Time to the rank and back, seconds.
-    most_tries : int
-        Tries of the order that was sent most often.
+        Round-trip time to the rank, seconds.
+    max_attempts : int
+        Number of attempts of the order that was sent most often.
     """
 
     def __init__(self, group, number):
@@ -117,8 +118,8 @@
         self.round_trip_s = group.rng.uniform(*ROUND_TRIPS_S)
         self._is_connected = False
         self._last_order = None
-        self._tries = 0
-        self.most_tries = 0
+        self._attempts = 0
+        self.max_attempts = 0
 
     def _response_s(self):
         group = self._group
@@ -128,7 +129,7 @@
         return self.round_trip_s * round_trips + work_s * slowness
 
     async def report(self, wait_s):
-        """Return what the rank reports."""
+        """Return the report of the rank."""
         group = self._group
         group.report_count += 1
         response_s = self._response_s()
@@ -142,12 +143,12 @@
         return await super().report(wait_s)
 
     async def order(self, order, wait_s):
-        """Give an order once, as far as it is answered in time."""
+        """Send an order once, and return its result if it arrives in time."""
         group = self._group
         group.order_count += 1
-        self._tries = self._tries + 1 if order is self._last_order else 1
+        self._attempts = self._attempts + 1 if order is self._last_order else 1
         self._last_order = order
-        self.most_tries = max(self.most_tries, self._tries)
+        self.max_attempts = max(self.max_attempts, self._attempts)
         response_s = group.sending_s(order) + self._response_s()
         is_unanswered = group.rng.random() < group.unanswered_share
         self._is_connected = False
--- a/siskinthread/group_maps/tests/virtual_time.py
+++ b/siskinthread/group_maps/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Curio with a clock that moves on at once to the next moment something is due."""
+"""A curio kernel whose clock jumps to the next moment at which something is due."""
 
 import selectors
 from types import SimpleNamespace
@@ -10,7 +10,7 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """A selector that ends each wait by setting a clock on.
+    """A selector that advances a clock instead of waiting.
 
     Parameters
     ----------
@@ -23,11 +23,11 @@
         self._clock = clock
 
     def select(self, timeout=None):
-        """Return the files that are ready, or set the clock to the timeout."""
+        """Return the files that are ready, or advance the clock by the timeout."""
         ready = super().select(0)
         if not ready:
             if timeout is None:
-                raise RuntimeError("all tasks wait for something that never comes")
+                raise RuntimeError("deadlock: all tasks wait without a timeout")
             self._clock.advance(timeout)
         return ready
 
