--- a/siskinthread/group_maps/_change.py
+++ b/siskinthread/group_maps/_change.py
@@ -258,10 +258,12 @@
             # The group is re-forming, which drops all holds and armed maps.
             return True
         held_pass = reports[HOLDING_RANK].held_pass
-        armed = {one.rank: one.armed for one in reports if one.armed is not None}
+        armed = {
+            report.rank: report.armed for report in reports if report.armed is not None
+        }
         if held_pass is None and not armed:
             return True
-        versions = {one.version for one in armed.values()}
+        versions = {armed_map.version for armed_map in armed.values()}
         # A change that was released comes into force with its pass and needs no
         # recovery.
         _logger.event(
@@ -270,7 +272,9 @@
             epoch=reports[HOLDING_RANK].epoch,
             pass_number=reports[HOLDING_RANK].pass_number,
             held_pass=held_pass,
-            armed_passes=sorted({str(one.pass_number) for one in armed.values()}),
+            armed_passes=sorted(
+                {str(armed_map.pass_number) for armed_map in armed.values()}
+            ),
             armed_ranks=sorted(armed),
             versions=sorted(versions),
         )
@@ -318,17 +322,19 @@
         """
         epoch = reports[HOLDING_RANK].epoch
         held_pass = reports[HOLDING_RANK].held_pass
-        versions = {one.armed.version for one in reports if one.armed is not None}
+        versions = {
+            report.armed.version for report in reports if report.armed is not None
+        }
         if len(versions) != 1:
             return False
-        unarmed = [one for one in reports if one.armed is None]
+        unarmed = [report for report in reports if report.armed is None]
         if not unarmed:
             await self._ranks.send(HOLDING_RANK, Release(epoch, held_pass))
             return True
-        if any(one.prepared_version not in versions for one in unarmed):
+        if any(report.prepared_version not in versions for report in unarmed):
             return False
         arm = Arm(epoch, *versions, held_pass)
-        await self._ranks.send_all({one.rank: arm for one in unarmed})
+        await self._ranks.send_all({report.rank: arm for report in unarmed})
         return True
 
     async def _undo(self, reports, armed, current_map):
@@ -336,7 +342,10 @@
         epoch = reports[HOLDING_RANK].epoch
         if armed:
             await self._ranks.send_all(
-                {rank: Disarm(epoch, one.version) for rank, one in armed.items()}
+                {
+                    rank: Disarm(epoch, armed_map.version)
+                    for rank, armed_map in armed.items()
+                }
             )
             return
         held_pass = reports[HOLDING_RANK].held_pass
@@ -357,8 +366,10 @@
         await curio.sleep(self._layout.report_lag_s)
         after = await self._ranks.reports()
         is_invalidated = all(
-            one.epoch == epoch and one.armed is None and one.prepared_version == version
-            for one in after
+            report.epoch == epoch
+            and report.armed is None
+            and report.prepared_version == version
+            for report in after
         )
         if is_invalidated:
             await self._ranks.send(HOLDING_RANK, Release(epoch, held_pass))
@@ -367,7 +378,7 @@
 def _is_running(reports):
     """Return whether all ranks are open and in the same epoch."""
     epoch = reports[HOLDING_RANK].epoch
-    return all(one.is_open and one.epoch == epoch for one in reports)
+    return all(report.is_open and report.epoch == epoch for report in reports)
 
 
 def planned_version(known, step):
@@ -390,8 +401,8 @@
 def highest_version(reports):
     """Return the highest map version that any rank has received."""
     versions = [0]
-    for one in reports:
-        versions.append(one.map_version)
-        versions.append(one.prepared_version or 0)
-        versions.append(0 if one.armed is None else one.armed.version)
+    for report in reports:
+        versions.append(report.map_version)
+        versions.append(report.prepared_version or 0)
+        versions.append(0 if report.armed is None else report.armed.version)
     return max(versions)
--- a/siskinthread/group_maps/_controller.py
+++ b/siskinthread/group_maps/_controller.py
@@ -291,7 +291,7 @@
             Reports of some ranks; the first is that of the holding rank.
         """
         report = reports[0]
-        if any(not one.is_open or one.epoch != report.epoch for one in reports):
+        if any(not other.is_open or other.epoch != report.epoch for other in reports):
             self._epoch = None
             return False
         self._passes.note(report.pass_number, self._layout.report_lag_s)
@@ -322,7 +322,7 @@
 
     def _note_starts(self, reports):
         """Reset the epoch if a rank has restarted, since its number may be the same."""
-        starts_unix_ms = {one.rank: one.started_unix_ms for one in reports}
+        starts_unix_ms = {report.rank: report.started_unix_ms for report in reports}
         for rank, start_unix_ms in starts_unix_ms.items():
             if self._starts_unix_ms.get(rank, start_unix_ms) != start_unix_ms:
                 self._epoch = None
@@ -330,12 +330,14 @@
 
     async def _read_map(self):
         held = await self._ranks.held_experts()
-        epochs = {one.epoch for one in held}
-        versions = {one.map_version for one in held}
+        epochs = {experts.epoch for experts in held}
+        versions = {experts.map_version for experts in held}
         if len(epochs) != 1 or len(versions) != 1:
             raise TargetError("ranks report different epochs or map versions")
         set_count = self._layout.set_count
-        holdings = [[one.experts_by_set[i] for one in held] for i in range(set_count)]
+        holdings = [
+            [experts.experts_by_set[i] for experts in held] for i in range(set_count)
+        ]
         self._map = GroupMap(versions.pop(), holdings, self._layout.expert_count)
         self._epoch = epochs.pop()
         if self._group_state.note_epoch(self._epoch):
@@ -442,7 +444,7 @@
         search = search_plans(
             self._map,
             self._demand.loads_by_set,
-            [one.slowness for one in self._reports],
+            [report.slowness for report in self._reports],
             self._layout,
             self._settings,
             version,
@@ -467,14 +469,14 @@
         """
         slow = self._slow_ranks.numbers
         return [
-            self._layout.model.even_pass_s(one.running) / even_pass_s
-            if one.rank in slow
+            self._layout.model.even_pass_s(report.running) / even_pass_s
+            if report.rank in slow
             else 1.0
-            for one in self._reports
+            for report in self._reports
         ]
 
     def _even_pass_s(self):
-        running = sum(one.running for one in self._reports) / len(self._reports)
+        running = sum(report.running for report in self._reports) / len(self._reports)
         return self._layout.model.even_pass_s(running)
 
     def _next_version(self):
--- a/siskinthread/group_maps/_demand.py
+++ b/siskinthread/group_maps/_demand.py
@@ -68,6 +68,6 @@
 
 def _shares(changes_of_ranks):
     """Return each expert's share of one set over several ranks; None if all are 0."""
-    sums = [max(0, sum(one)) for one in zip(*changes_of_ranks, strict=True)]
+    sums = [max(0, sum(changes)) for changes in zip(*changes_of_ranks, strict=True)]
     total = sum(sums)
-    return [one / total for one in sums] if total else None
+    return [count / total for count in sums] if total else None
--- a/siskinthread/group_maps/_directory.py
+++ b/siskinthread/group_maps/_directory.py
@@ -74,14 +74,14 @@
         self._places = {}
         self._clients = {}
 
-    async def refresh(self, entries, may_ask=True):
+    async def refresh(self, entries, may_query=True):
         """Query new targets for their place, and drop targets that are gone.
 
         Parameters
         ----------
         entries : list of siskinthread.gateway.TargetEntry
             All listed model engines.
-        may_ask : bool
+        may_query : bool
             Whether to query targets now; a peer may know their places.
 
         Returns
@@ -92,7 +92,7 @@
         known = {entry.instance_id for entry in entries}
         self._note_lost(known)
         self._forget_replaced(entries)
-        new = self.unknown(entries) if may_ask else []
+        new = self.unknown(entries) if may_query else []
         for start in range(0, len(new), CONCURRENT_QUERIES):
             queried = new[start : start + CONCURRENT_QUERIES]
             tasks = [
@@ -182,7 +182,7 @@
 
     def domains_of(self, instance_ids):
         """Return the failure domain of each given target."""
-        return [self._domains[one] for one in instance_ids]
+        return [self._domains[instance_id] for instance_id in instance_ids]
 
     def has_ranks(self):
         """Return whether any target is known to be a rank."""
@@ -213,5 +213,7 @@
             if sorted(by_rank) != list(range(size)):
                 continue
             ids = [by_rank[rank][0] for rank in range(size)]
-            complete[group_name] = {one: self._clients[one] for one in ids}
+            complete[group_name] = {
+                instance_id: self._clients[instance_id] for instance_id in ids
+            }
         return complete
--- a/siskinthread/group_maps/_layout.py
+++ b/siskinthread/group_maps/_layout.py
@@ -133,7 +133,9 @@
         Load of each expert, shared evenly by the ranks that hold the expert.
     """
     replicas = replica_counts(ranks, len(loads))
-    return [sum(loads[one] / replicas[one] for one in experts) for experts in ranks]
+    return [
+        sum(loads[expert] / replicas[expert] for expert in experts) for experts in ranks
+    ]
 
 
 def replica_counts(ranks, expert_count):
--- a/siskinthread/group_maps/_pass_clock.py
+++ b/siskinthread/group_maps/_pass_clock.py
@@ -108,8 +108,8 @@
     -----
     With many entries, most of them have no stream in a given group at most moments.  A
     controller among them would notice a shift of the demand only with its next routine
-    sample, up to 3 s late.  In a run with 32 entries and no faults 627 of 3,603 streams
-    were late, and 9 with the reports of peers.
+    sample, up to 3 s late.  In a calm run with 32 entries 627 of 3,603 streams were
+    late, and 9 with the reports of peers.
     """
 
     __slots__ = ("_received_at_s", "_newest_reported", "_own", "_reported_usual_s")
--- a/siskinthread/group_maps/_ranks.py
+++ b/siskinthread/group_maps/_ranks.py
@@ -13,7 +13,7 @@
     REPORT,
 )
 from siskinthread.group_maps._orders import OrderResult, Prepare
-from siskinthread.group_maps._retries import AttemptCounts, retry_allowance_s
+from siskinthread.group_maps._repeats import AttemptCounts, retry_allowance_s
 from siskinthread.timing import SYSTEM_CLOCK
 
 # Size of the HTTP head and the fields of an order without a map.
--- a/siskinthread/group_maps/_retries.py
+++ b/siskinthread/group_maps/_repeats.py
@@ -89,14 +89,14 @@
     if share <= 0.0:
         return 0.0
     for retries in range(RETRIES_LIMIT):
-        # Hold and release together need k retries with probability (k + 1) (1 -
-        # share)^2 share^k.
+        # Hold and release together need k retries with the probability
+        # (k + 1) (1 - share)^2 share^k.
         in_time = sum(
-            (one + 1)
+            (k + 1)
             * (1.0 - share) ** 2
-            * share**one
-            * (1.0 - share ** (retries - one + 1)) ** rank_count
-            for one in range(retries + 1)
+            * share**k
+            * (1.0 - share ** (retries - k + 1)) ** rank_count
+            for k in range(retries + 1)
         )
         if in_time >= ARMED_IN_TIME:
             break
--- a/siskinthread/group_maps/tests/test_directory.py
+++ b/siskinthread/group_maps/tests/test_directory.py
@@ -99,7 +99,7 @@
         _, follower, _, silent = build(FakeGroup(RANKS))
         for client in silent.values():
             client.is_silent = True
-        before = await follower.refresh(entries, may_ask=False)
+        before = await follower.refresh(entries, may_query=False)
         follower.learn(follower.unknown(entries), directory.places())
         after = await follower.refresh(entries)
         return before, after, list(follower.complete_groups()["g"])
--- a/siskinthread/group_maps/tests/test_order_timing.py
+++ b/siskinthread/group_maps/tests/test_order_timing.py
@@ -8,7 +8,7 @@
     OrderTimeouts,
     ResponseEstimate,
 )
-from siskinthread.group_maps._retries import AttemptCounts, retry_allowance_s
+from siskinthread.group_maps._repeats import AttemptCounts, retry_allowance_s
 
 SETTINGS = GroupMapSettings()
 MAX_ATTEMPTS = 20
--- a/siskinthread/group_maps/tests/test_shift_replay.py
+++ b/siskinthread/group_maps/tests/test_shift_replay.py
@@ -124,8 +124,7 @@
     end of copying and the pass to hold are known only from reports.
 
     Copying takes three passes, the counts two, and detecting and arming a few more.  In
-    a run with twelve ranks and no faults the share of streams in time rose from 0.34 to
-    0.90.
+    a calm run with twelve ranks the share of streams in time rose from 0.34 to 0.90.
     """
     assert late_passes(settings_with()) <= 11
 
@@ -144,8 +143,7 @@
 
     The controller of a group has no stream there when the demand shifts, while other
     entries have.  Without reports of peers it detects the shift only with its next
-    routine sample.  In a run with 32 entries and no faults 627 of 3,603 streams were
-    late.
+    routine sample.  In a calm run with 32 entries 627 of 3,603 streams were late.
     """
 
     def blind(clock):
