--- a/siskinthread/group_maps/_repeats.py
+++ b/siskinthread/group_maps/_repeats.py
@@ -1,60 +1,61 @@
-"""How much time to allow for orders that have to be repeated.
+"""Time to allow for retries of orders.
 
-The load pattern: ranks leave part of the orders unanswered for some seconds.  All ranks
-must be armed before the held pass is due, or the group stalls there.
+Load pattern: for some seconds, ranks leave part of the orders unanswered.  All ranks
+must be armed before the held pass is due, or the group stalls at that pass.
 """
 
 import math
 
-# The held pass lies so far ahead that all ranks are armed before it with this
-# probability; with less the group is stalled, with more the change takes longer.
+# Probability that all ranks are armed before the held pass. A lower value stalls the
+# group more often; a higher value delays the change.
 ARMED_IN_TIME = 0.8
-# Share of unanswered tries that is reckoned with at most; all orders of a change were
-# answered in the end, so that a higher share comes from few of them.
+# Upper bound for the estimated share of unanswered attempts. In the end all orders of a
+# change are answered, so a higher share is an artefact of few attempts.
 SHARE_LIMIT = 0.75
-# Tries that are answered, of a hold, an arm and a release; a release is executed before
-# its response arrives.  Without repeats they take less than a pass.
-ANSWERED_TRIES = 2
-# More than the tries of a hold, an arm and a release together.
-REPEATS_LIMIT = 60
+# Answered attempts that are allowed for, out of a hold, an arm and a release. A release
+# is executed before its response arrives. Without retries they take less than a pass.
+ANSWERED_ATTEMPTS = 2
+# Bound of the search; more than the attempts of a hold, an arm and a release together.
+RETRIES_LIMIT = 60
 
 
-class TryCounts:
-    """How many tries of orders were sent, and how many of them were not answered.
+class AttemptCounts:
+    """Counts of the attempts to send orders.
 
     Attributes
     ----------
-    sent, unanswered, repeats : int
-        Tries; those without a response; and those after the first of an order.
+    sent, unanswered, retries : int
+        All attempts; attempts without a response; and retries, which are all attempts
+        but the first of each order.
     delayed : int
-        Tries that ended late since this process itself was delayed.
+        Attempts that ended late because this process itself was delayed.
     """
 
-    __slots__ = ("delayed", "repeats", "sent", "unanswered")
+    __slots__ = ("delayed", "retries", "sent", "unanswered")
 
-    def __init__(self, sent=0, unanswered=0, repeats=0, delayed=0):
+    def __init__(self, sent=0, unanswered=0, retries=0, delayed=0):
         self.sent = sent
         self.unanswered = unanswered
-        self.repeats = repeats
+        self.retries = retries
         self.delayed = delayed
 
-    def note(self, is_repeat, is_unanswered, is_delayed):
-        """Count a try; a delayed one isn't counted as unanswered."""
+    def note(self, is_retry, is_unanswered, is_delayed):
+        """Count an attempt; a delayed attempt doesn't count as unanswered."""
         self.sent += 1
-        self.repeats += is_repeat
+        self.retries += is_retry
         self.delayed += is_delayed
         self.unanswered += is_unanswered and not is_delayed
 
     def copy(self):
-        """Return the counts as they are now."""
-        return TryCounts(self.sent, self.unanswered, self.repeats, self.delayed)
+        """Return a copy of the current counts."""
+        return AttemptCounts(self.sent, self.unanswered, self.retries, self.delayed)
 
     def unanswered_share(self, earlier):
-        """Return the share of unanswered tries since an earlier copy.
+        """Return the share of unanswered attempts since an earlier copy.
 
-        Delayed ones are left out.  It is one standard error above the measured one: a
-        group that is held too far ahead loses a pass or two, and one that is held too
-        near stalls.
+        Delayed attempts are left out.  The result is one standard error above the
+        measured share: a hold that is too far ahead costs a pass or two, and a hold
+        that is too near stalls the group.
         """
         judged = self.sent - earlier.sent - (self.delayed - earlier.delayed)
         if not judged:
@@ -63,39 +64,40 @@
         return share + math.sqrt(share * (1.0 - share) / judged)
 
 
-def repeating_s(rank_count, unanswered_share, timeout_s):
-    """Return the time to allow for repeats of a hold, the arms and a release.
+def retry_allowance_s(rank_count, unanswered_share, timeout_s):
+    """Return the time to allow for retries of a hold, the arms and a release.
 
-    They are sent one after the other, the arms to all ranks at the same time, so the
-    arms need as many rounds as the rank whose orders are lost most often.
+    The three steps are sequential, and arms go to all ranks at the same time, so arming
+    needs as many rounds as the rank that loses most orders.
 
     Parameters
     ----------
     rank_count : int
-        Ranks that must be armed.
+        Number of ranks that must be armed.
     unanswered_share : float
-        Share of tries that are not answered.
+        Share of attempts that are not answered.
     timeout_s : float
-        Timeout of a try, seconds.
+        Timeout of an attempt, seconds.
 
     Returns
     -------
     float
-        Seconds within which all of them are answered with the probability
+        Seconds within which all of these orders are answered with the probability
         `ARMED_IN_TIME`.
     """
     share = min(SHARE_LIMIT, unanswered_share)
     if share <= 0.0:
         return 0.0
-    for repeats in range(REPEATS_LIMIT):
-        # Hold and release need k repeats with (k + 1) (1 - share)^2 share^k.
+    for retries in range(RETRIES_LIMIT):
+        # Hold and release together need k retries with the probability
+        # (k + 1) (1 - share)^2 share^k.
         in_time = sum(
-            (one + 1)
+            (k + 1)
             * (1.0 - share) ** 2
-            * share**one
-            * (1.0 - share ** (repeats - one + 1)) ** rank_count
-            for one in range(repeats + 1)
+            * share**k
+            * (1.0 - share ** (retries - k + 1)) ** rank_count
+            for k in range(retries + 1)
         )
         if in_time >= ARMED_IN_TIME:
             break
-    return (repeats + ANSWERED_TRIES) * timeout_s
+    return (retries + ANSWERED_ATTEMPTS) * timeout_s
