--- a/siskinthread/daemons/_experts_status.py
+++ b/siskinthread/daemons/_experts_status.py
@@ -58,8 +58,8 @@
     plan = controller.last_plan
     status.skew = controller.skew
     status.pending_moves = controller.pending_moves
-    status.verdict = controller.hindrance
+    status.verdict = controller.skip_reason
     if plan is not None:
         status.skew_before = float(plan.skew_before)
         status.skew_after = float(plan.skew_after)
-        status.verdict = controller.hindrance or plan.verdict
+        status.verdict = controller.skip_reason or plan.verdict
--- a/siskinthread/daemons/_group_duties.py
+++ b/siskinthread/daemons/_group_duties.py
@@ -59,7 +59,7 @@
         self._membership = membership
         self._clock = clock
         heartbeats = Heartbeats(settings.ownership, clock)
-        self.service = RankService(rank, clock, heartbeats.heard)
+        self.service = RankService(rank, clock, heartbeats.note_heartbeat)
         self._owners = OwnershipView()
         self._claimer = Claimer(
             client,
--- a/siskinthread/experts/_controller.py
+++ b/siskinthread/experts/_controller.py
@@ -85,7 +85,7 @@
         "_settings",
         "changed_at_ms",
         "expert_map",
-        "hindrance",
+        "skip_reason",
         "last_plan",
         "pending_moves",
         "result",
@@ -110,7 +110,7 @@
         self._is_recovered = False
         self.changed_at_ms = None
         self.expert_map = None
-        self.hindrance = None
+        self.skip_reason = None
         self.last_plan = None
         self.pending_moves = 0
         self.result = None
@@ -145,12 +145,12 @@
             self.pending_moves = 0
         reports = await self._ranks.reports()
         if not self._is_complete(reports):
-            self.hindrance = SkipReason.RANKS_MISSING
+            self.skip_reason = SkipReason.RANKS_MISSING
             return None
         if not self._is_recovered:
             result = await self._recover(reports)
             if result is not ChangeResult.CHANGED:
-                self.hindrance = SkipReason.RECOVERY_UNFINISHED
+                self.skip_reason = SkipReason.RECOVERY_UNFINISHED
                 return result
             self._is_recovered = True
         return await self._rebalance(reports)
@@ -193,19 +193,19 @@
         known = [reports[name] for name in self._ranks.names()]
         if any(report is None for report in known):
             _logger.info("Skipping group %s: a rank sent no report.", self._group)
-            self.hindrance = SkipReason.RANK_SILENT
+            self.skip_reason = SkipReason.RANK_SILENT
             return None
         versions = {report.expert_map.version for report in known}
         if len(versions) != 1:
             self._is_recovered = False
-            self.hindrance = SkipReason.MAPS_DIFFER
+            self.skip_reason = SkipReason.MAPS_DIFFER
             return None
         expert_map = known[0].expert_map
         self.expert_map = expert_map
         self._observe(expert_map, known)
         plan = await self._plan(expert_map)
         self.last_plan = plan
-        self.hindrance = None
+        self.skip_reason = None
         if plan.verdict is not Verdict.MOVE:
             return None
         self.pending_moves = plan.moves
--- a/siskinthread/experts/_expert_map.py
+++ b/siskinthread/experts/_expert_map.py
@@ -41,7 +41,7 @@
             raise InvariantError("an expert map must hold every expert, and no other")
 
     @classmethod
-    def in_turn(cls, rank_count, slots_per_rank, expert_count):
+    def round_robin(cls, rank_count, slots_per_rank, expert_count):
         """Return the map that assigns the experts to the slots round robin."""
         slots = np.arange(rank_count * slots_per_rank) % expert_count
         return cls(slots.reshape(rank_count, slots_per_rank), expert_count)
--- a/siskinthread/experts/tests/test_planner.py
+++ b/siskinthread/experts/tests/test_planner.py
@@ -21,7 +21,7 @@
 
 def make_estimates(loads, slowness=None):
     estimates = Estimates(EXPERTS, RANKS, PlannerSettings(smoothing=1.0))
-    expert_map = ExpertMap.in_turn(RANKS, SLOTS, EXPERTS)
+    expert_map = ExpertMap.round_robin(RANKS, SLOTS, EXPERTS)
     times = expert_map.rank_loads(loads) * (1.0 if slowness is None else slowness)
     estimates.observe(expert_map, loads, times)
     return expert_map, estimates
@@ -37,7 +37,7 @@
     """A seeded series of plans equals the golden file."""
     random = np.random.default_rng(11)
     planner = Planner(PlannerSettings(), Objective(1.0, 1.0, [(0, 60)]))
-    expert_map = ExpertMap.in_turn(RANKS, SLOTS, EXPERTS)
+    expert_map = ExpertMap.round_robin(RANKS, SLOTS, EXPERTS)
     estimates = Estimates(EXPERTS, RANKS, PlannerSettings())
     log_loads = random.normal(0, 1, EXPERTS)
     plans = []
@@ -78,7 +78,7 @@
     """
     random = np.random.default_rng(2)
     planner = Planner(PlannerSettings(), Objective())
-    expert_map = ExpertMap.in_turn(6, 2, 12)
+    expert_map = ExpertMap.round_robin(6, 2, 12)
     estimates = Estimates(12, 6, PlannerSettings())
     for _ in range(50):
         loads = 10_000.0 * random.normal(1.0, 0.008, 12)
--- a/siskinthread/experts/tests/test_search.py
+++ b/siskinthread/experts/tests/test_search.py
@@ -13,7 +13,7 @@
 def test_step_is_the_best_of_all_single_steps(seed):
     """The peak bound of a step is the smallest peak that the naive search finds."""
     random = np.random.default_rng(seed)
-    expert_map = ExpertMap.in_turn(6, 2, 8)
+    expert_map = ExpertMap.round_robin(6, 2, 8)
     if seed % 2:
         expert_map = recompute_map(np.exp(random.normal(0, 1, 8)), 6, 2)
     loads = np.exp(random.normal(0, 1.2, 8))
@@ -31,7 +31,7 @@
 def test_every_expert_keeps_a_slot():
     """No expert loses its last replica in a long search."""
     random = np.random.default_rng(5)
-    expert_map = ExpertMap.in_turn(16, 2, 24)
+    expert_map = ExpertMap.round_robin(16, 2, 24)
     loads = np.exp(random.normal(0, 2, 24))
     search = Search(expert_map, loads, np.ones(16), swap_penalty=0.0)
     steps = 0
--- a/siskinthread/gateway/_group_progress.py
+++ b/siskinthread/gateway/_group_progress.py
@@ -6,7 +6,7 @@
 controller has been stopped.
 """
 
-from siskinthread.group_maps import PassClock, PassView, ToldPass
+from siskinthread.group_maps import PassClock, PassView, ReportedPass
 from siskinthread.observability import part_logger
 from siskinthread.timing import Deadline
 
@@ -142,7 +142,7 @@
 
     def _newest_peer_pass(self, group):
         newest = None if self.peers is None else self.peers.newest_pass(group)
-        return None if newest is None else ToldPass(*newest)
+        return None if newest is None else ReportedPass(*newest)
 
     def _note_stalled(self, group, stream_count):
         if group not in self._stalled:
--- a/siskinthread/gateway/tests/test_control_failover.py
+++ b/siskinthread/gateway/tests/test_control_failover.py
@@ -11,7 +11,7 @@
 from siskinthread.gateway.tests.parts import SETTINGS
 from siskinthread.group_maps import (
     GroupDirectory,
-    GroupDuty,
+    GroupManager,
     GroupMapSettings,
     MapMeasures,
     Shares,
@@ -106,7 +106,7 @@
             MAP_SETTINGS,
             SYSTEM_CLOCK,
         )
-        self.duty = GroupDuty(
+        self.duty = GroupManager(
             self.directory,
             self.member,
             lambda instance_id: LAYOUT,
--- a/siskinthread/gateway/tests/test_reformed_group.py
+++ b/siskinthread/gateway/tests/test_reformed_group.py
@@ -16,8 +16,8 @@
     GroupController,
     GroupDirectory,
     GroupMapSettings,
-    GroupMemory,
     GroupRanks,
+    GroupState,
     MapMeasures,
     OutageWatch,
     PassClock,
@@ -229,7 +229,7 @@
     group = BreakingGroup(first, LAYOUT, demand(shares), RUNNING, pass_clock)
     group.uncounted_s = uncounted_s
     host = Host(group)
-    controller = build_controller(host, pass_clock, GroupMemory(SETTINGS))
+    controller = build_controller(host, pass_clock, GroupState(SETTINGS))
     tasks = [
         await curio.spawn(host.watch.run),
         await curio.spawn(group.keep_snapshots),
--- a/siskinthread/group_maps/__init__.py
+++ b/siskinthread/group_maps/__init__.py
@@ -13,7 +13,7 @@
 from siskinthread.group_maps._controller import GroupController
 from siskinthread.group_maps._demand import Demand
 from siskinthread.group_maps._directory import GroupDirectory, RankPlace
-from siskinthread.group_maps._group_state import GroupMemory
+from siskinthread.group_maps._group_state import GroupState
 from siskinthread.group_maps._layout import (
     ExpertLayout,
     GroupMap,
@@ -21,7 +21,7 @@
     rank_loads,
     relative_pass_time,
 )
-from siskinthread.group_maps._manager import GroupDuty, Shares
+from siskinthread.group_maps._manager import GroupManager, Shares
 from siskinthread.group_maps._measures import MapMeasures
 from siskinthread.group_maps._orders import (
     Arm,
@@ -36,7 +36,7 @@
     Release,
 )
 from siskinthread.group_maps._outage_watch import OutageWatch
-from siskinthread.group_maps._pass_clock import PassClock, PassView, ToldPass
+from siskinthread.group_maps._pass_clock import PassClock, PassView, ReportedPass
 from siskinthread.group_maps._passes import PassEstimate
 from siskinthread.group_maps._planner import Plan, plan_changes, search_plans
 from siskinthread.group_maps._ranks import GroupRanks
@@ -53,10 +53,10 @@
     "ExpertLayout",
     "GroupController",
     "GroupDirectory",
-    "GroupDuty",
+    "GroupManager",
     "GroupMap",
     "GroupMapSettings",
-    "GroupMemory",
+    "GroupState",
     "GroupRanks",
     "HeldExperts",
     "Hold",
@@ -83,5 +83,5 @@
     "rank_loads",
     "relative_pass_time",
     "search_plans",
-    "ToldPass",
+    "ReportedPass",
 ]
--- a/siskinthread/group_maps/_group_state.py
+++ b/siskinthread/group_maps/_group_state.py
@@ -3,7 +3,7 @@
 from siskinthread.group_maps._demand import Demand
 
 
-class GroupMemory:
+class GroupState:
     """State that a controller of a group passes on to the next one in this process.
 
     A controller ends when a rank is replaced or a share moves.  Without this state, the
--- a/siskinthread/group_maps/_manager.py
+++ b/siskinthread/group_maps/_manager.py
@@ -7,7 +7,7 @@
 
 from siskinthread.errors import PlatformUnavailableError
 from siskinthread.group_maps._controller import GroupController
-from siskinthread.group_maps._group_state import GroupMemory
+from siskinthread.group_maps._group_state import GroupState
 from siskinthread.group_maps._ranks import GroupRanks
 from siskinthread.group_maps._slow_ranks import SlowRanks
 from siskinthread.observability import part_logger
@@ -16,7 +16,7 @@
 _logger = part_logger("group_maps")
 
 
-class GroupDuty:
+class GroupManager:
     """Runs a controller for each group whose share this process holds.
 
     Parameters
@@ -251,7 +251,7 @@
             ranks,
             layout,
             self._home.pass_view(name),
-            self._group_states.setdefault(name, GroupMemory(self._settings)),
+            self._group_states.setdefault(name, GroupState(self._settings)),
             self._settings,
             self._clock,
             self._measures,
--- a/siskinthread/group_maps/_pass_clock.py
+++ b/siskinthread/group_maps/_pass_clock.py
@@ -76,7 +76,7 @@
         return max(self.latest_s, now_s - self._began_s)
 
 
-class ToldPass:
+class ReportedPass:
     """Time of a pass as reported by a peer.
 
     Parameters
--- a/siskinthread/group_maps/tests/test_duty.py
+++ b/siskinthread/group_maps/tests/test_duty.py
@@ -9,10 +9,10 @@
     ExpertLayout,
     GroupController,
     GroupDirectory,
-    GroupDuty,
+    GroupManager,
     GroupMapSettings,
-    GroupMemory,
     GroupRanks,
+    GroupState,
     MapMeasures,
     PassClock,
     PassModel,
@@ -163,7 +163,7 @@
         lambda entry: clients[entry.instance_id], settings, SYSTEM_CLOCK
     )
     shares = FakeShares()
-    manager = GroupDuty(
+    manager = GroupManager(
         directory,
         shares,
         lambda instance_id: LAYOUT,
@@ -306,7 +306,7 @@
             GroupRanks(clients, SETTINGS),
             LAYOUT,
             PassClock(),
-            GroupMemory(SETTINGS),
+            GroupState(SETTINGS),
             SETTINGS,
             SYSTEM_CLOCK,
             MapMeasures(Metrics()),
--- a/siskinthread/group_maps/tests/test_pass_view.py
+++ b/siskinthread/group_maps/tests/test_pass_view.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from siskinthread.group_maps import PassClock, PassView, ToldPass
+from siskinthread.group_maps import PassClock, PassView, ReportedPass
 
 
 def build(*reported):
@@ -14,7 +14,7 @@
 
 def test_peers_count_only_without_own_streams():
     """Events of own streams are newer than any report of a peer."""
-    view, _, clock = build(ToldPass(0.2, 0.0))
+    view, _, clock = build(ReportedPass(0.2, 0.0))
     assert view.current_s(0.0) == 0.2
     for number in range(4):
         clock.event_came(number * 0.05)
@@ -28,10 +28,10 @@
 
     The same report of a peer is read many times.
     """
-    view, received, _ = build(ToldPass(0.05, 0.0))
+    view, received, _ = build(ReportedPass(0.05, 0.0))
     for number in range(20):
         view.current_s(number * 0.02)
-    received.append(ToldPass(0.15, 0.4))
+    received.append(ReportedPass(0.15, 0.4))
     for number in range(20):
         view.current_s(0.4 + number * 0.02)
     assert view.usual_s == pytest.approx(0.07)
--- a/siskinthread/group_maps/tests/test_shift_replay.py
+++ b/siskinthread/group_maps/tests/test_shift_replay.py
@@ -8,13 +8,13 @@
     ExpertLayout,
     GroupController,
     GroupMapSettings,
-    GroupMemory,
     GroupRanks,
+    GroupState,
     MapMeasures,
     PassClock,
     PassModel,
     PassView,
-    ToldPass,
+    ReportedPass,
 )
 from siskinthread.group_maps._slow_ranks import SlowRanks
 from siskinthread.group_maps.tests.model_group import ModelClient, ModelGroup
@@ -65,7 +65,7 @@
         if pass_s is not None and (
             not reported or now_s - reported[-1].received_at_s > interval_s
         ):
-            reported.append(ToldPass(pass_s, now_s))
+            reported.append(ReportedPass(pass_s, now_s))
         return reported[-1] if reported else None
 
     return newest_reported
@@ -95,7 +95,7 @@
             GroupRanks(clients, settings),
             LAYOUT,
             pass_clock if build_view is None else build_view(pass_clock),
-            GroupMemory(settings),
+            GroupState(settings),
             settings,
             SYSTEM_CLOCK,
             MapMeasures(Metrics()),
--- a/siskinthread/measurement/_experts.py
+++ b/siskinthread/measurement/_experts.py
@@ -137,7 +137,7 @@
         workload.slots_per_rank,
         workload.expert_count,
     )
-    expert_map = ExpertMap.in_turn(ranks, slots, experts)
+    expert_map = ExpertMap.round_robin(ranks, slots, experts)
     estimates = Estimates(experts, ranks, PlannerSettings())
     run = PolicyRun(policy)
     reports = []
--- a/siskinthread/ownership/_liveness.py
+++ b/siskinthread/ownership/_liveness.py
@@ -21,7 +21,7 @@
         self._clock = clock
         self._deadlines = {}
 
-    def heard(self, host):
+    def note_heartbeat(self, host):
         """Record a heartbeat of a host."""
         self._deadlines[host] = Deadline.after(self._clock, self._silence_limit_s)
 
@@ -32,7 +32,7 @@
         that a process that just started does not suspect every host.
         """
         if host not in self._deadlines:
-            self.heard(host)
+            self.note_heartbeat(host)
         return self._deadlines[host].passed()
 
 
--- a/siskinthread/ownership/tests/test_claimer.py
+++ b/siskinthread/ownership/tests/test_claimer.py
@@ -266,7 +266,7 @@
     liveness = Liveness(Membership(), heartbeats)
     assert not liveness.is_suspected("h1")
     clock.advance(5.0)
-    heartbeats.heard("h1")
+    heartbeats.note_heartbeat("h1")
     clock.advance(5.0)
     assert not liveness.is_suspected("h1")
     assert Liveness(Membership(["h2"]), heartbeats).is_suspected("h1")
--- a/siskinthread/platform/_group_control.py
+++ b/siskinthread/platform/_group_control.py
@@ -7,7 +7,7 @@
 from siskinthread.errors import PlatformUnavailableError
 from siskinthread.group_maps import (
     GroupDirectory,
-    GroupDuty,
+    GroupManager,
     MapMeasures,
     OutageWatch,
 )
@@ -82,7 +82,7 @@
             host_settings.share_count,
             settings.share_lapse_s,
         )
-        self._duty = GroupDuty(
+        self._duty = GroupManager(
             self._directory,
             shares,
             self._find_layout,
--- a/standins/rank_group.py
+++ b/standins/rank_group.py
@@ -137,7 +137,7 @@
         self._tastes = self._random.normal(0, 1, options.experts)
         self._held_since_s = None
         self._counts = {"steps": 0, "mixed_steps": 0, "longest_hold_ms": 0.0}
-        self.first_map = ExpertMap.in_turn(
+        self.first_map = ExpertMap.round_robin(
             options.ranks, options.slots, options.experts
         )
         self.last_loads = self._loads()
