--- a/siskinthread/gateway/_inferred_outages.py
+++ b/siskinthread/gateway/_inferred_outages.py
@@ -38,7 +38,7 @@
 
     Attributes
     ----------
-    lengths : siskinthread.load_control.OutageLengths
+    lengths : siskinthread.load_control.OutageDurations
         Lengths of earlier outages, by service.
 
     Notes
--- a/siskinthread/gateway/_return_times.py
+++ b/siskinthread/gateway/_return_times.py
@@ -12,7 +12,7 @@
 class ReturnTimes:
     """Decides how long each refused caller should wait before it retries.
 
-    A caller may be promised a place: its return is booked in a `ReturnBook`, which
+    A caller may be promised a place: its return is booked in a `RetrySchedule`, which
     keeps a slot for it at the announced time.
 
     Parameters
--- a/siskinthread/gateway/_waiting_room.py
+++ b/siskinthread/gateway/_waiting_room.py
@@ -50,7 +50,7 @@
         returns an object with ``began_at_s`` or None, ``listen(callback)`` registers a
         callback that is called with the name of each group that accepts requests
         again.  With None, outages are detected by failed requests only.
-    request_times : siskinthread.load_control.RequestTimes
+    request_times : siskinthread.load_control.RouteDurations
         Durations of requests.
     returns : ReturnTimes or None
         Decides whether a new request leaves enough slots for callers that retry.
