--- a/siskinthread/control/__init__.py
+++ b/siskinthread/control/__init__.py
@@ -1,13 +1,14 @@
-"""Propagation of the configuration between processes, over the links that they have.
+"""Propagation of the configuration between processes over their existing links.
 
-``ControlPlane(identity, settings, client, view, membership, clock, metrics)`` is made
-by each daemon; ``run()`` is its task.  The daemon hands it to `AgentLinks` or
-`AgentServer`, to which it is a `LinkListener`: it hears when links come and go and what
-peers say of their configuration, and sends its own questions and answers over them.
+Each daemon creates ``ControlPlane(identity, settings, client, view, membership, clock,
+metrics)`` and runs ``run()`` as a task.  The daemon passes it to `AgentLinks` or
+`AgentServer` as their `LinkListener`: it is notified when links come up and go down,
+receives the peers' configuration messages and sends its own requests and answers over
+the same links.
 
 ``answer_operator(channel, frames, control)`` serves an operator's connection;
-`OperatorServer` listens for them in a process that has no other listener for peers.
-``siskinthread.control.operators`` is their side.
+`OperatorServer` listens for such connections in a process that has no other listener
+for peers.  ``siskinthread.control.operators`` is the client side.
 """
 
 from siskinthread.control._listener import LinkListener
--- a/siskinthread/control/_answering.py
+++ b/siskinthread/control/_answering.py
@@ -1,4 +1,4 @@
-"""Answering the questions of peers."""
+"""Answers the configuration requests of peers."""
 
 import curio
 
@@ -9,44 +9,44 @@
 
 
 class AnswerQueue:
-    """Questions that wait for an answer, the newest one of each link.
+    """Queue of unanswered requests, at most the newest one of each link.
 
     Parameters
     ----------
     answer : callable
         Coroutine function from `ConfigurationRequest` to `ConfigurationUpdate`.
     frame_limit_bytes : int
-        Longest frame that peers accept.
+        Longest frame that peers accept; longer answers are dropped.
 
     Notes
     -----
-    One task answers all: an answer waits for a thread and for the fold's lock, which
-    can take tens of milliseconds.  In the task that reads a link, that would hold back
-    the requests and heartbeats on it.
+    One task answers all requests.  An answer waits for a thread and for the lock of the
+    folded state, which can take tens of milliseconds; in the task that reads a link,
+    this would delay the requests and heartbeats on that link.
     """
 
-    __slots__ = ("_answer", "_frame_limit_bytes", "_questions", "_some")
+    __slots__ = ("_answer", "_frame_limit_bytes", "_questions", "_pending")
 
     def __init__(self, answer, frame_limit_bytes):
         self._answer = answer
         self._frame_limit_bytes = frame_limit_bytes
         self._questions = {}
-        self._some = curio.Event()
+        self._pending = curio.Event()
 
     async def put(self, link, request):
-        """Have a question answered; it replaces an older one of the link."""
+        """Queue a request; it replaces an unanswered one of the same link."""
         self._questions[link] = request
-        await self._some.set()
+        await self._pending.set()
 
     def drop(self, link):
-        """Leave out the question of a link that is gone."""
+        """Discard the request of a link that is down."""
         self._questions.pop(link, None)
 
     async def run(self):
-        """Answer until cancelled."""
+        """Answer requests until cancelled."""
         while True:
-            await self._some.wait()
-            self._some.clear()
+            await self._pending.wait()
+            self._pending.clear()
             while self._questions:
                 link = next(iter(self._questions))
                 request = self._questions.pop(link)
@@ -56,8 +56,11 @@
         frame = Frame(configuration_update=update)
         size_bytes = len(encode_frame(frame))
         if size_bytes > self._frame_limit_bytes:
-            # The peer would close the link over it, with every stream on it, and ask
-            # again over the next one.
-            _LOG.error("An answer of %d bytes is too long to be sent.", size_bytes)
+            # The peer would close the link, with every stream on it, because of the
+            # frame, and would ask again on the next link.
+            _LOG.error(
+                "Configuration answer of %d bytes exceeds the frame limit; not sent.",
+                size_bytes,
+            )
             return
         await link.send(frame)
--- a/siskinthread/control/_asking.py
+++ b/siskinthread/control/_asking.py
@@ -1,4 +1,4 @@
-"""Whom to ask for records, and asking them."""
+"""Chooses peers to ask for configuration records, and asks them."""
 
 import curio
 
@@ -8,7 +8,7 @@
 
 ANSWER_WAIT_S = 2.0
 FIRST_LINK_WAIT_S = 1.0
-ASKED_AT_START = 3
+START_PEER_COUNT = 3
 UNKNOWN_OFFSET = -1
 
 
@@ -18,20 +18,20 @@
     Parameters
     ----------
     readers : ReaderChoice
-        Who reads the log.
+        Which processes read the log.
     clock : Clock
         The process's clock.
     random : random.Random
-        Chooses among equal peers.
+        Breaks ties between equally suitable peers.
     questions : prometheus_client.Counter
-        Counts by ``result``.
+        Counts questions by ``result``.
 
     Attributes
     ----------
     links : dict of object to PeerLink
-        Present links.
+        The peer of each link that is up.
     asked : list of PeerLink
-        Peers that were asked since it was last cleared.
+        Peers asked since the list was last cleared.
     """
 
     __slots__ = (
@@ -56,27 +56,27 @@
         self.asked = []
 
     async def add(self, link, peer):
-        """Take on a link."""
+        """Add the peer of a link that came up."""
         self.links[link] = peer
         await self._first_link.set()
 
     def ahead(self, offset):
-        """Return the peers that may have records behind an offset."""
+        """Return the peers that may have records after an offset."""
         return [peer for peer in self.links.values() if peer.is_ahead(offset)]
 
     def reads_log(self):
-        """Return whether this process reads the log for the others."""
+        """Return whether this process reads the log for its failure domain."""
         return self._readers.reads_log()
 
     async def ask(self, request, starting):
         """Send a `ConfigurationRequest`; return the `ConfigurationUpdate` answers."""
         if starting and not self.links:
-            # Links come up within the first second.  A process that didn't wait would
-            # take a log that lost its tail for the truth, and in an outage would sit
-            # through a whole back-off before it asked anybody.
+            # Links come up within the first second.  Without this wait, a process would
+            # start from a log that lost its tail without noticing and, in an outage of
+            # the log, would ask no peer before a whole back-off had passed.
             await self._wait_for_first_link()
         own_offset = request.status.applied_offset
-        peers = self._at_start() if starting else self._one(own_offset)
+        peers = self._choose_at_start() if starting else self._choose_one(own_offset)
         self.asked += peers
         frame = Frame(configuration_request=request)
         async with curio.TaskGroup() as group:
@@ -92,21 +92,21 @@
             self._start_deadline = Deadline.after(self._clock, FIRST_LINK_WAIT_S)
         await curio.ignore_after(self._start_deadline.left_s(), self._first_link.wait)
 
-    def _at_start(self):
+    def _choose_at_start(self):
         peers = self._shuffled(self.links.values())
         peers.sort(key=_known_offset, reverse=True)
-        return peers[:ASKED_AT_START]
+        return peers[:START_PEER_COUNT]
 
-    def _one(self, own_offset):
-        """Choose a peer: one that is ahead, else a reader, else any."""
-        peers = self._shuffled(self.ahead(own_offset) or self._promising())
+    def _choose_one(self, own_offset):
+        """Choose a peer: prefer one that is ahead, and among these a reader."""
+        peers = self._shuffled(self.ahead(own_offset) or self._candidates())
         peers.sort(key=lambda peer: not self._readers.is_reader(peer.host))
         return peers[:1]
 
-    def _promising(self):
-        # A peer whose last answer brought nothing is of another history, or silent.
+    def _candidates(self):
+        # A peer whose last question brought nothing is silent or has diverged.
         peers = self.links.values()
-        return [peer for peer in peers if peer.fruitless_offset is None] or peers
+        return [peer for peer in peers if peer.unproductive_offset is None] or peers
 
     def _shuffled(self, peers):
         peers = list(peers)
--- a/siskinthread/control/_listener.py
+++ b/siskinthread/control/_listener.py
@@ -1,37 +1,38 @@
-"""What a link tells the part that passes the configuration on."""
+"""Callbacks by which links notify the control plane."""
 
 from siskinthread.errors import ProtocolError
 
 
 class LinkListener:
-    """Hears of links and their messages; this one ignores all of it.
+    """Callbacks for links and their messages; this base class ignores them.
 
     Notes
     -----
-    A link that it is told of has ``peer_hello`` (the `Hello` of the authenticated
-    peer), ``async send(frame)`` and ``async send_heartbeat()``, which return without
+    The ``link`` argument has ``peer_hello`` (the `Hello` of the authenticated peer),
+    ``async send(frame)`` and ``async send_heartbeat()``; both methods return without
     waiting for the peer.
     """
 
     __slots__ = ()
 
     def configuration_offset(self):
-        """Return the last record that was folded, for heartbeats; None before one."""
+        """Return the last applied offset, for heartbeats; None before the first."""
 
     async def answer(self, request):
         """Return the `ConfigurationUpdate` for a `ConfigurationRequest`."""
         raise ProtocolError("this process knows no configuration")
 
     async def link_up(self, link):
-        """Take in that a link was authenticated; repeated for each connection."""
+        """Called when a link is authenticated, once for each of its connections."""
 
     async def link_down(self, link):
-        """Take in that the connection of a link ended."""
+        """Called when the connection of a link has ended."""
 
     async def receive(self, message, link):
-        """Take in a `Heartbeat`, `ConfigurationRequest` or `ConfigurationUpdate`.
+        """Handle a `Heartbeat`, `ConfigurationRequest` or `ConfigurationUpdate`.
 
         Notes
         -----
-        Must not wait for the peer or for a thread: the link reads nothing meanwhile.
+        Must not wait for the peer or for a thread, because the link does not read
+        meanwhile.
         """
--- a/siskinthread/control/_operators.py
+++ b/siskinthread/control/_operators.py
@@ -1,4 +1,4 @@
-"""Answering operators, who ask each process for what it holds."""
+"""Answers operators' queries for the state of this process."""
 
 import curio
 
@@ -20,21 +20,25 @@
     channel : Channel
         An authenticated channel of a peer with the role of an operator.
     frames : list of Frame
-        Frames that arrived right behind the handshake.
+        Frames that arrived directly after the handshake.
     control : LinkListener
-        Of this process.
+        Control plane of this process.
     answer_experts : callable or None
-        Returns the `ExpertsStatus` for an `ExpertsQuestion`; None at an entry.
+        Returns the `ExpertsStatus` for an `ExpertsQuestion`; None on an entry, which
+        has no experts.
 
     Raises
     ------
     ConnectionLostError
-        In the end, always, unless a `ProtocolError` comes before.
+        When the connection ends or exceeds its time limit.
+    ProtocolError
+        If the operator sent an unknown question.
 
     Notes
     -----
-    An operator's command asks once and leaves.  One that was stopped in between would
-    hold the connection for good, so every connection ends after a time.
+    An operator's command sends one question and disconnects.  A command that is stopped
+    before that would hold its connection indefinitely, so every connection has a time
+    limit.
     """
     try:
         async with curio.timeout_after(LONGEST_CONNECTION_S):
@@ -43,7 +47,9 @@
                     await _answer(frame, channel, control, answer_experts)
                 frames = await channel.receive()
     except curio.TaskTimeout as error:
-        raise ConnectionLostError("an operator's connection lasted too long") from error
+        raise ConnectionLostError(
+            "operator connection exceeded its time limit"
+        ) from error
 
 
 async def _answer(frame, channel, control, answer_experts):
@@ -52,22 +58,22 @@
         await channel.send(Frame(experts_status=status))
         return
     if frame.configuration_request is None:
-        raise ProtocolError("an operator asks for what this process does not know")
+        raise ProtocolError("operator sent a question that this process can't answer")
     update = await control.answer(frame.configuration_request)
     await channel.send(Frame(configuration_update=update))
 
 
 class OperatorServer:
-    """Listens for operators in a process that has no links to listen for.
+    """Listens for operators in a process that accepts no links.
 
     Parameters
     ----------
     identity : Identity
         This process.
     settings : PeerSettings
-        Keys and waits.
+        Keys and timeouts.
     control : LinkListener
-        Of this process.
+        Control plane of this process.
     """
 
     __slots__ = ("_control", "_identity", "_settings")
@@ -78,7 +84,7 @@
         self._control = control
 
     async def run(self, listening_socket):
-        """Serve until cancelled."""
+        """Serve connections until cancelled."""
         await curio.network.run_server(listening_socket, self._serve)
 
     async def _serve(self, socket, address):
@@ -88,11 +94,11 @@
                 channel, self._identity, self._settings, dialled=False
             )
             if hello.role != OPERATOR_ROLE:
-                raise ProtocolError(f"{hello.host} is no operator")
+                raise ProtocolError(f"{hello.host} is not an operator")
             await answer_operator(channel, frames, self._control)
         except ConnectionLostError:
             pass
         except ProtocolError as error:
-            _LOG.warning("An operator's connection was refused: %s.", error)
+            _LOG.warning("Operator connection refused: %s.", error)
         finally:
             await channel.close()
--- a/siskinthread/control/_peer_links.py
+++ b/siskinthread/control/_peer_links.py
@@ -1,4 +1,4 @@
-"""The links of this process as ways to ask peers for their configuration."""
+"""Configuration requests to peers over the links of this process."""
 
 import curio
 
@@ -6,30 +6,30 @@
 
 
 class PeerLink:
-    """What is known of the peer at the other end of a link.
+    """State of the peer at the other end of a link.
 
     Parameters
     ----------
     link : object
-        As `LinkListener` describes it.
+        A link as described in the notes of `LinkListener`.
 
     Attributes
     ----------
     offset : int or None
-        Last record that the peer said it has folded.
-    judged_offset : int or None
-        Its offset as the last question shows it: by the answer, or without one as it
-        was known when the question was put.
-    fruitless_offset : int or None
-        The judged offset of the last question that nothing came of.
+        Last record that the peer reported as applied.
+    asked_offset : int or None
+        The peer's offset as of the last question: from the answer or, if none came,
+        the offset that was known when the question was sent.
+    unproductive_offset : int or None
+        `asked_offset` of the last question that brought no new records.
     """
 
     __slots__ = (
         "_answer",
         "_answered",
         "_question",
-        "fruitless_offset",
-        "judged_offset",
+        "unproductive_offset",
+        "asked_offset",
         "link",
         "offset",
     )
@@ -37,60 +37,62 @@
     def __init__(self, link):
         self.link = link
         self.offset = None
-        self.judged_offset = None
-        self.fruitless_offset = None
+        self.asked_offset = None
+        self.unproductive_offset = None
         self._question = None
         self._answer = None
         self._answered = curio.Event()
 
     @property
     def host(self):
-        """Name of the peer's host."""
+        """Name of the peer's host on the host list."""
         return self.link.peer_hello.host
 
     def is_ahead(self, offset):
-        """Return whether asking the peer may bring records behind an offset.
+        """Return whether the peer may have records after an offset.
 
         Notes
         -----
-        A peer of another history stays ahead for good.  Without the second condition it
-        would be asked again at each of its heartbeats.
+        A peer with a diverged history stays ahead permanently.  Without the check of
+        `unproductive_offset` it would be asked again after each of its heartbeats.
         """
         if self.offset is None or self.offset <= offset:
             return False
-        return self.fruitless_offset is None or self.offset > self.fruitless_offset
+        return (
+            self.unproductive_offset is None or self.offset > self.unproductive_offset
+        )
 
     async def ask(self, frame, wait_s):
-        """Send a question; return the `ConfigurationUpdate`, None if none came in time.
+        """Send a question and return the `ConfigurationUpdate`, or None on a timeout.
 
         Parameters
         ----------
         frame : Frame
-            With a ``configuration_request``.
+            A frame with a ``configuration_request``.
         wait_s : float
-            Longest wait for the answer.
+            Longest wait for the answer, seconds.
         """
         self._question = frame.configuration_request
         self._answer = None
         self._answered.clear()
-        self.judged_offset = self.offset
+        self.asked_offset = self.offset
         await self.link.send(frame)
         await curio.ignore_after(wait_s, self._answered.wait)
         self._question = None
         return self._answer
 
     async def take_answer(self, update):
-        """Hand an answer to the task that waits for it, if it's the one asked for."""
+        """Pass an answer to the waiting task if it matches the pending question."""
         if self._question is None or not _same(update.base, self._question.status):
-            # An answer that came too late for an earlier question.
+            # A late answer to an earlier question.
             return
         self._answer = update
         if is_whole_status(update.status):
-            self.judged_offset = update.status.applied_offset
+            self.asked_offset = update.status.applied_offset
         await self._answered.set()
 
-    async def give_up(self):
-        """Wake the task that waits for an answer, which can't come any more."""
+    async def abandon_question(self):
+        """Wake the waiting task without an answer, as the link is down."""
         await self._answered.set()
 
 
--- a/siskinthread/control/_plane.py
+++ b/siskinthread/control/_plane.py
@@ -1,4 +1,4 @@
-"""The part of a process that keeps its configuration up to date."""
+"""Keeps the configuration of a process up to date."""
 
 import functools
 import random as random_module
@@ -19,29 +19,29 @@
 
 
 class ControlPlane(LinkListener):
-    """Follows the configuration by the log and by peers, and passes it on.
+    """Follows the configuration in the log and at peers, and serves it to peers.
 
     Parameters
     ----------
     identity : Identity
         This process.
     settings : EntrySettings or AgentSettings
-        Or any object with their ``platform``, ``configuration`` and ``peers``.
+        Any object with the sections ``platform``, ``configuration`` and ``peers``.
     client : siskinthread.shared_services.LogClient
         Client of the log.
     view : ConfigurationView
         Advanced with each accepted record.
     membership : MembershipView
-        Who is there.
+        Hosts on the host list.
     clock : Clock
         The process's clock.
     metrics : siskinthread.observability.Metrics
         The process's metrics.
     random : random.Random or None
-        Source of jitter and choices.
+        Source of jitter and of random choices; None for a new one.
     """
 
-    __slots__ = ("_answers", "_follower", "_news", "_peers")
+    __slots__ = ("_answers", "_follower", "_peer_ahead", "_peers")
 
     def __init__(
         self,
@@ -79,10 +79,10 @@
         self._answers = AnswerQueue(
             self._follower.answer, settings.peers.frame_limit_bytes
         )
-        self._news = curio.Event()
+        self._peer_ahead = curio.Event()
 
     def configuration_offset(self):
-        """Return the last record that was folded; None before the first."""
+        """Return the offset of the last applied record; None before the first."""
         return self._follower.applied_offset
 
     async def answer(self, request):
@@ -90,18 +90,18 @@
         return await self._follower.answer(request)
 
     async def link_up(self, link):
-        """Take on a link."""
+        """Add a link that came up."""
         await self._peers.add(link, PeerLink(link))
 
     async def link_down(self, link):
-        """Forget a link."""
+        """Remove a link and end a question that waits on it."""
         peer = self._peers.links.pop(link, None)
         self._answers.drop(link)
         if peer is not None:
-            await peer.give_up()
+            await peer.abandon_question()
 
     async def receive(self, message, link):
-        """Take in a message of a peer."""
+        """Handle a message of a peer; ignored if its link is unknown."""
         peer = self._peers.links.get(link)
         if peer is not None:
             await _receive(message, peer, self)
@@ -115,38 +115,39 @@
             raise group.exception
 
     async def note_offset(self, peer, offset):
-        """Take in how far a peer is, and ask it at once if that is further."""
+        """Store a peer's offset, and wake the follower if the peer is ahead."""
         peer.offset = offset
         if peer.is_ahead(self._own_offset()):
-            await self._news.set()
+            await self._peer_ahead.set()
 
     async def queue_question(self, peer, request):
-        """Have a peer's question answered."""
+        """Queue the answer to a peer's question."""
         await self._answers.put(peer.link, request)
 
     async def _follow(self):
         announced_offset = None
         while True:
-            self._news.clear()
+            self._peer_ahead.clear()
             self._peers.asked.clear()
             before = self._own_offset()
             pause_s = await self._follower.step()
             if not self._peers.asked and self._peers.ahead(self._own_offset()):
-                # The log was read and lacks what a peer has: it lost its tail.  A
-                # process that started upon such a log would stay behind for good.
+                # The log was read and lacks records that a peer has, so it lost its
+                # tail.  Without this question, a process that started from such a log
+                # would stay behind permanently.
                 await self._follower.ask_peers()
-            self._note_fruitless(before)
+            self._record_unproductive(before)
             if announced_offset != self.configuration_offset():
                 announced_offset = self.configuration_offset()
                 await self._announce()
-            # An answer holds a bounded number of records; the rest is fetched at once.
+            # An answer holds a bounded number of records; fetch the rest at once.
             if self._peers.asked and self._peers.ahead(self._own_offset()):
                 await curio.sleep(0)
                 continue
             if not self._peers.ahead(self._own_offset()):
-                # What woke this task was said while the peer was being asked.  Kept, it
-                # would have a peer of another history asked once more for nothing.
-                self._news.clear()
+                # The event was set while the peer was being asked.  If it stayed set,
+                # a peer with a diverged history would be asked a second time in vain.
+                self._peer_ahead.clear()
             await self._pause(pause_s)
 
     def _own_offset(self):
@@ -155,19 +156,19 @@
 
     async def _pause(self, pause_s):
         if pause_s > 0:
-            await curio.ignore_after(pause_s, self._news.wait)
+            await curio.ignore_after(pause_s, self._peer_ahead.wait)
         else:
             await curio.sleep(0)
 
-    def _note_fruitless(self, before):
+    def _record_unproductive(self, before):
         if self._own_offset() > before:
             return
         for peer in self._peers.asked:
-            # Not by what it has said since: a question that was put before that was not
-            # in vain for it, and the peer would never be asked for its new records.
-            judged_offset = peer.judged_offset
-            if judged_offset is not None and judged_offset > before:
-                peer.fruitless_offset = judged_offset
+            # Compare the offset at the time of the question.  A heartbeat that arrived
+            # since may report newer records, for which the peer still has to be asked.
+            asked_offset = peer.asked_offset
+            if asked_offset is not None and asked_offset > before:
+                peer.unproductive_offset = asked_offset
 
     async def _announce(self):
         for link in list(self._peers.links):
@@ -176,7 +177,7 @@
 
 @functools.singledispatch
 async def _receive(message, peer, plane):
-    raise TypeError(f"{type(message).__name__} is no message of the control plane")
+    raise TypeError(f"{type(message).__name__} is not a message of the control plane")
 
 
 @_receive.register
--- a/siskinthread/control/_readers.py
+++ b/siskinthread/control/_readers.py
@@ -1,4 +1,4 @@
-"""Which processes read the log for the others."""
+"""Selects the processes that read the log for their failure domain."""
 
 import collections
 
@@ -6,16 +6,16 @@
 
 
 class ReaderChoice:
-    """The readers of each failure domain, by the host list.
+    """The readers of each failure domain, chosen from the host list.
 
     Parameters
     ----------
     host, failure_domain : str
-        Of this process.
+        Host and failure domain of this process.
     membership : MembershipView
-        Who is there; entries and agents count alike.
+        Hosts on the host list; entries and agents are equally eligible.
     count : int
-        Readers of a failure domain.
+        Number of readers of each failure domain.
     """
 
     __slots__ = ("_count", "_failure_domain", "_host", "_hosts_by_domain", "_readers")
@@ -34,8 +34,8 @@
 
         Notes
         -----
-        While the host list shows nobody of the own domain, as at the start, nobody else
-        could be relied on.
+        While the host list shows no host of the own failure domain, as at the start,
+        this process reads the log itself, because no other reader is known.
         """
         if not self._hosts_by_domain.get(self._failure_domain):
             return True
@@ -49,7 +49,7 @@
         found = collections.defaultdict(list)
         for entries in (membership.entries(), membership.agents()):
             for host, entry in entries.items():
-                # A host that leaves would soon be missed as a reader.
+                # A leaving host would soon be missing as a reader.
                 if not membership.is_leaving(host):
                     found[entry.failure_domain].append(host)
         self._hosts_by_domain = found
--- a/siskinthread/control/_status_report.py
+++ b/siskinthread/control/_status_report.py
@@ -10,14 +10,14 @@
 
 
 class StatusReport:
-    """Which version is in force where.
+    """Report of the configuration version in force on each host.
 
     Parameters
     ----------
     views : list of HostView
-        All hosts.
+        Results of the queries of all hosts.
     settings : StatusSettings
-        From which age on a view is old.
+        Has the age above which a view is old.
     """
 
     __slots__ = ("_old_view_s", "_views", "newest_version")
@@ -30,12 +30,12 @@
 
     @property
     def exit_code(self):
-        """0 if all hold the newest version; 3 if a host doesn't; 4 if one is silent.
+        """0 if all hosts are current; 3 if a host is not; 4 if a host did not answer.
 
         Notes
         -----
-        Hosts that leave count like others as long as they answer: they may still finish
-        requests.  They often don't answer any more, which is no fault.
+        A leaving host that answers counts like any other, since it may still finish
+        requests.  A leaving host that doesn't answer is not a fault.
         """
         if self.newest_version is None or self._differ():
             return NOT_IN_FORCE
@@ -126,7 +126,7 @@
 
 
 def _by_version(views):
-    """Return pairs of version and views that hold it, the newest first."""
+    """Return pairs of a version and the views that hold it, newest first."""
     versions = collections.defaultdict(list)
     for view in views:
         if view.status is not None:
@@ -136,7 +136,7 @@
 
 
 def _oldest_s(views):
-    """Return the age of the oldest view; None if one was never confirmed."""
+    """Return the age of the oldest view; None if a view was never confirmed."""
     ages_s = [view.age_s for view in views]
     return None if None in ages_s else max(ages_s)
 
--- a/siskinthread/control/_survey.py
+++ b/siskinthread/control/_survey.py
@@ -1,4 +1,4 @@
-"""Asking hosts, as an operator, for what they hold."""
+"""Queries hosts for their state on behalf of an operator."""
 
 import functools
 
@@ -20,39 +20,42 @@
 
 OPERATOR_HOST = "operator"
 MILLISECONDS_PER_SECOND = 1000
-BEYOND_ALL_RECORDS = 2**62
+OFFSET_BEYOND_RECORDS = 2**62
 
 
 class StatusSettings(Section):
-    """What ``siskinthread status`` needs to reach the hosts."""
+    """Settings of ``siskinthread status``."""
 
-    host_list = Item(Address, description="The host list.")
-    peers = Item(PeerSettings, description="Keys and waits of connections to hosts.")
+    host_list = Item(Address, description="Address of the host list.")
+    peers = Item(PeerSettings, description="Keys and timeouts of connections to hosts.")
     answer_wait_s = Item(
         float, default=2.0, minimum=0.01, description="Longest wait for an answer."
     )
     parallel_questions = Item(
-        int, default=32, minimum=1, description="Hosts that are asked at a time."
+        int,
+        default=32,
+        minimum=1,
+        description="Most hosts that are queried concurrently.",
     )
     old_view_s = Item(
         float,
         default=30.0,
         minimum=0.0,
-        description="Age from which on a host's view counts as old.",
+        description="Age above which a host's view counts as old.",
     )
 
 
 class HostAnswer:
-    """What one host answered.
+    """Result of the query of one host.
 
     Attributes
     ----------
     entry : siskinthread.shared_services.HostEntry
-        Its line of the host list.
+        The host's entry of the host list.
     status : ConfigurationStatus, ExpertsStatus or None
-        Its answer.
+        The host's answer; None if it gave none.
     problem : str or None
-        Why there is none.
+        Why there is no answer; None if there is one.
     """
 
     __slots__ = ("entry", "problem", "status")
@@ -64,26 +67,26 @@
 
 
 class HostView(HostAnswer):
-    """Which configuration one host holds; ``status`` is a `ConfigurationStatus`."""
+    """Configuration of one host; ``status`` is a `ConfigurationStatus`."""
 
     __slots__ = ()
 
     @property
     def version(self):
-        """Version in force; None without one."""
+        """Version in force; None if no version is in force."""
         version = None if self.status is None else self.status.version
         return None if version is None or version < 0 else version
 
     @property
     def age_s(self):
-        """Time since the host knew that nothing newer existed; None if never."""
+        """Time since the host last confirmed its view as current; None if never."""
         if self.status is None or self.status.confirmed_age_ms is None:
             return None
         return self.status.confirmed_age_ms / MILLISECONDS_PER_SECOND
 
 
 async def survey_hosts(settings):
-    """Return the `HostView` of each host on the host list, by name.
+    """Return the `HostView` of each host on the host list, sorted by host name.
 
     Parameters
     ----------
@@ -95,33 +98,35 @@
     PlatformUnavailableError
         If the host list gave no answer.
     """
-    # So far ahead that the answer holds no records.
-    beyond = ConfigurationStatus(BEYOND_ALL_RECORDS, "")
+    # An offset beyond all records, so that the answer holds no records.
+    beyond = ConfigurationStatus(OFFSET_BEYOND_RECORDS, "")
     question = Frame(configuration_request=ConfigurationRequest(beyond))
     return await ask_hosts(settings, question, _configuration_status, HostView)
 
 
-async def ask_hosts(settings, question, take, answer_class=HostAnswer, role=None):
-    """Ask hosts of the host list one question.
+async def ask_hosts(
+    settings, question, read_answer, answer_class=HostAnswer, role=None
+):
+    """Send the same question to the hosts of the host list.
 
     Parameters
     ----------
     settings : StatusSettings
         Where to ask.
     question : Frame
-        Sent to each host.
-    take : callable
-        Returns the answer that a `Frame` holds, None if it is another frame, or raises
-        `ProtocolError`.
+        The question, sent to each host.
+    read_answer : callable
+        Returns the answer in a `Frame`, or None for a frame without an answer; raises
+        `ProtocolError` if the answer is incomplete.
     answer_class : type
-        `HostAnswer` or a class under it.
+        `HostAnswer` or a subclass.
     role : str or None
-        Only hosts of this role are asked; None for all.
+        Only hosts of this role are queried; None for all.
 
     Returns
     -------
     list of HostAnswer
-        By host.
+        Sorted by host name.
 
     Raises
     ------
@@ -133,19 +138,19 @@
         entries = await client.fetch()
     finally:
         await client.close()
-    places = curio.Semaphore(settings.parallel_questions)
+    slots = curio.Semaphore(settings.parallel_questions)
     async with curio.TaskGroup() as group:
         for entry in entries:
             if role in (None, entry.role):
-                ask = functools.partial(_ask, entry, settings.peers, question, take)
-                await group.spawn(
-                    _answer_of, entry, ask, answer_class, settings, places
+                ask = functools.partial(
+                    _ask, entry, settings.peers, question, read_answer
                 )
+                await group.spawn(_answer_of, entry, ask, answer_class, settings, slots)
     return sorted(group.results, key=lambda view: view.entry.host)
 
 
-async def _answer_of(entry, ask, answer_class, settings, places):
-    async with places:
+async def _answer_of(entry, ask, answer_class, settings, slots):
+    async with slots:
         try:
             async with curio.timeout_after(settings.answer_wait_s):
                 return answer_class(entry, await ask())
@@ -155,7 +160,7 @@
             return answer_class(entry, problem=str(error))
 
 
-async def _ask(entry, peers, question, take):
+async def _ask(entry, peers, question, read_answer):
     channel = await open_channel(
         entry.address, entry.port, Frame, peers.frame_limit_bytes, peers.dial_wait_s
     )
@@ -167,7 +172,7 @@
         await channel.send(question)
         while True:
             for frame in frames:
-                answer = take(frame)
+                answer = read_answer(frame)
                 if answer is not None:
                     return answer
             frames = await channel.receive()
--- a/siskinthread/control/operators.py
+++ b/siskinthread/control/operators.py
@@ -1,4 +1,4 @@
-"""What operators' commands build on; daemons don't import it."""
+"""Queries for operators' commands; daemons don't import this module."""
 
 import curio
 
@@ -14,7 +14,7 @@
 
 
 def survey(settings):
-    """Ask all hosts; return the `StatusReport`.
+    """Query all hosts and return the `StatusReport`.
 
     Parameters
     ----------
--- a/siskinthread/control/tests/nodes.py
+++ b/siskinthread/control/tests/nodes.py
@@ -1,4 +1,4 @@
-"""Entries and agents with a control plane each, joined by real links on loopback."""
+"""Entries and agents with a control plane, connected by real links on loopback."""
 
 import contextlib
 import random
@@ -26,7 +26,7 @@
 
 
 class NodeLog:
-    """One node's way to the shared log, which can be cut."""
+    """One node's access to the shared log, which can be cut."""
 
     def __init__(self, log):
         self.log = log
@@ -34,21 +34,21 @@
         self.reads = 0
 
     async def read(self, *arguments):
-        """Read, unless the way is cut."""
+        """Read, unless the access is cut."""
         if self.down:
             raise PlatformUnavailableError("log: out of reach")
         self.reads += 1
         return await self.log.read(*arguments)
 
     async def append(self, stream, body):
-        """Append, unless the way is cut."""
+        """Append, unless the access is cut."""
         if self.down:
             raise PlatformUnavailableError("log: out of reach")
         return await self.log.append(stream, body)
 
 
 class NodeSettings:
-    """The sections that a control plane needs."""
+    """The settings sections that a control plane needs."""
 
     def __init__(self, heartbeat_interval_s=LONG_S, **configuration):
         defaults = {
@@ -56,7 +56,7 @@
             "peer_confirm_limit_s": 2 * LONG_S,
             "retry_wait_first_s": 10 * LONG_S,
             "retry_wait_limit_s": 10 * LONG_S,
-            # The records of the tests are old; no node shall write a snapshot of them.
+            # The records of the tests are old; keep nodes from writing a snapshot.
             "retention_s": 1e12,
         }
         self.platform = PlatformSettings(
@@ -86,7 +86,7 @@
     Attributes
     ----------
     versions : list of int
-        Every version that was put in force, in order.
+        Every version that came into force, in order.
     """
 
     role = None
@@ -121,15 +121,15 @@
 
     @property
     def links(self):
-        """Number of links that the control plane has."""
+        """Number of links of the control plane."""
         return len(self.control._peers.links)
 
     def list_hosts(self, nodes):
-        """Take in a host list."""
+        """Set the host list of the node."""
         self.membership.replace([node.listed() for node in nodes])
 
     def listed(self):
-        """Return this node's line of the host list."""
+        """Return this node's entry of the host list."""
         address = self.address()
         return HostEntry(
             self.name, self.role, address.host, address.port, self.domain, False
@@ -145,7 +145,7 @@
         self.tasks.append(await curio.spawn(self.control.run))
 
     async def stop(self):
-        """End the tasks."""
+        """Cancel the tasks."""
         for task in reversed(self.tasks):
             await task.cancel()
 
@@ -171,7 +171,7 @@
         )
 
     def address(self):
-        """Return where entries connect."""
+        """Return the address to which entries connect."""
         return self._address
 
     async def start(self):
@@ -192,11 +192,11 @@
         )
 
     def address(self):
-        """Return an address where nobody listens."""
+        """Return an address without a listener."""
         return Address(LOOPBACK, 9)
 
     def link_to(self, *agents):
-        """Keep links to these agents only."""
+        """Keep links only to these agents."""
         self.agent_links.reconcile({agent.name: agent.address() for agent in agents})
 
     async def start(self):
@@ -207,7 +207,7 @@
 
 @contextlib.asynccontextmanager
 async def running(*nodes):
-    """Run nodes, within the time limit of a test."""
+    """Run nodes within the time limit of a test."""
     async with curio.timeout_after(TEST_LIMIT_S):
         try:
             for node in nodes:
@@ -225,7 +225,7 @@
 
 
 async def all_at(version, *nodes):
-    """Wait until a version is in force on nodes."""
+    """Wait until a version is in force on all nodes."""
     await until(lambda: all(node.version == version for node in nodes))
 
 
--- a/siskinthread/control/tests/test_asking.py
+++ b/siskinthread/control/tests/test_asking.py
@@ -29,13 +29,13 @@
 
 
 class FakeLink:
-    """A link that keeps what is sent."""
+    """A link that stores the frames sent."""
 
     def __init__(self):
         self.sent = curio.Queue()
 
     async def send(self, frame):
-        """Keep a frame."""
+        """Store a frame."""
         await self.sent.put(frame)
 
 
@@ -52,9 +52,9 @@
 
 
 def test_late_answer_is_not_taken_for_the_next_questions():
-    """Symptom: a process behind a slow peer is always one answer behind.
+    """An answer that arrives after the next question was sent is discarded.
 
-    Events: an answer comes after its question was given up and the next one was put.
+    Otherwise a process that asks a slow peer would always be one answer behind.
     """
 
     async def run():
@@ -72,10 +72,10 @@
 
 
 def test_answer_over_the_frame_limit_is_not_sent():
-    """Symptom: links to a process that starts break again and again.
+    """Links to a starting process don't break repeatedly.
 
-    Events: the state is so large that its snapshot exceeds the longest frame; the peer
-    closes the link over it, with every stream on it, and asks again on the next one.
+    If the state is so large that its snapshot exceeds the longest frame, the peer would
+    close the link with every stream on it, and ask again on the next link.
     """
 
     async def run():
@@ -96,10 +96,10 @@
 
 
 def test_process_that_starts_waits_for_its_first_link():
-    """Symptom: after a restart a host serves a configuration that was replaced.
+    """A restarted host doesn't serve a configuration that was replaced.
 
-    Events: the log lost its tail; a process starts, reads it and has no link yet.
-    Cause: it asked before anybody could be asked.
+    The log lost its tail, and a process reads it before its first link is up, when no
+    peer could be asked yet.
     """
 
     async def run():
@@ -118,11 +118,10 @@
 
 
 def test_process_that_started_upon_a_shortened_log_catches_up_by_a_peer():
-    """Symptom: a host stays on a replaced configuration, and its log shows no trouble.
+    """A host doesn't stay on a replaced configuration without any logged error.
 
-    Events: the log lost its tail; a process starts upon it and reads it; its link to a
-    process with the lost records comes up later.  Cause: whoever reads the log well
-    asked nobody.
+    The log lost its tail, a process starts from it, and its link to a process with the
+    lost records comes up later.  A process that can read the log must ask peers too.
     """
 
     async def run():
@@ -142,7 +141,7 @@
 
 
 def test_only_operators_are_served_where_there_are_no_links():
-    """An authenticated peer of another role is cut off."""
+    """The connection of an authenticated peer with another role is closed."""
 
     async def run():
         settings = NodeSettings()
--- a/siskinthread/control/tests/test_propagation.py
+++ b/siskinthread/control/tests/test_propagation.py
@@ -1,4 +1,4 @@
-"""The configuration reaches every process over the links."""
+"""Propagation of the configuration to every process over the links."""
 
 import curio
 
@@ -28,11 +28,11 @@
 
 
 def test_news_reach_a_process_that_cannot_reach_the_log():
-    """Symptom: a domain that is cut off from the log alone keeps its configuration.
+    """A domain that is cut off only from the log doesn't keep an old configuration.
 
-    Events: one agent reads the log; an entry and the agent behind it can't.  A change
-    is published while no question and no heartbeat is due.  Cause: nobody told the
-    peers that there is news.
+    One agent reads the log; an entry and an agent linked through it can't.  A change is
+    published while no question and no heartbeat is due, so that it arrives only if
+    each process notifies its peers of new records.
     """
 
     async def run():
@@ -52,9 +52,9 @@
 
 
 def test_many_records_arrive_without_a_pause_between_answers():
-    """Symptom: a process that was away for long catches up one answer every 4 s.
+    """A process that is far behind doesn't catch up by only one answer every 4 s.
 
-    Cause: an answer holds a bounded number of bytes, and the rest waited for the next
+    An answer holds a bounded number of bytes; the rest must not wait for the next
     regular question.
     """
 
@@ -76,9 +76,9 @@
 
 
 def test_process_that_starts_in_an_outage_starts_from_its_peers():
-    """Symptom: replaced hosts stay unready for as long as the log is down.
+    """A replaced host doesn't stay unready for the whole outage of the log.
 
-    Events: the log goes down; an entry is replaced and its links come up.
+    The log goes down, then an entry is replaced and its links come up.
     """
 
     async def run():
@@ -97,10 +97,10 @@
 
 
 def test_halves_of_a_partition_keep_their_state_and_catch_up_after_it():
-    """Symptom: after a partition heals, hosts go back to an older configuration.
+    """Hosts don't return to an older configuration after a partition heals.
 
-    Events: two domains lose each other and one of them the log; changes are published
-    meanwhile; the links come back.
+    Two domains lose their links to each other, and one of them loses the log; changes
+    are published meanwhile, and then the links come back.
     """
 
     async def run():
@@ -134,10 +134,10 @@
 
 
 def test_peer_of_another_history_is_not_taken():
-    """Symptom: two states under one version, or a question at every heartbeat.
+    """No two states get the same version, and not every heartbeat causes a question.
 
-    Events: the log lost records and was written on; a process that starts with the new
-    history is linked to one that holds the old one and is further.
+    The log lost records and then received others; a process with the new history is
+    linked to one that holds the old history and has a higher offset.
     """
 
     async def run():
@@ -155,7 +155,7 @@
             new.link_to(old)
             await until(lambda: new.count("control_questions", result="answered") > 2)
             peer = next(iter(new.control._peers.links.values()))
-            assert peer.fruitless_offset == peer.offset == 3
+            assert peer.unproductive_offset == peer.offset == 3
         assert (old.versions[-1], new.versions[-1]) == (3, 2)
         assert "x" in new.view.state.hosts
         troubles = "configuration_log_troubles"
@@ -165,9 +165,9 @@
 
 
 def test_diverged_peer_is_not_asked_at_each_heartbeat():
-    """Symptom: a peer that stays ahead for good is asked once a second by everybody.
+    """A peer that stays ahead permanently isn't asked once a second by every process.
 
-    Events: a process that relies on peers hears heartbeats of one of another history.
+    A process that relies on peers receives heartbeats of a peer with another history.
     """
 
     async def run():
@@ -186,7 +186,7 @@
             new.link_to(old)
             await until(lambda: new.links == 1)
             peer = next(iter(new.control._peers.links.values()))
-            await until(lambda: peer.fruitless_offset == 3)
+            await until(lambda: peer.unproductive_offset == 3)
             asked = new.count("control_questions", result="answered")
             heard = new.agent_links.status("a1").load_received_at_s
             await until(
@@ -198,7 +198,7 @@
 
 
 def hosts_with_reader(other, reader):
-    """Return both nodes, renamed until the second one is the reader."""
+    """Return both nodes, the second one renamed until it is the reader."""
     number = 0
     while chosen_readers([other.name, reader.name], 1) != [reader.name]:
         number += 1
@@ -207,10 +207,10 @@
 
 
 def test_another_process_reads_the_log_when_the_reader_is_gone():
-    """Symptom: after the loss of its readers a domain learns of nothing any more.
+    """A domain still receives changes after the loss of its readers.
 
-    Events: the one reader of a domain dies; the host list drops it; a change is
-    published.  Cause: the readers were chosen once.
+    The only reader of a domain dies, the host list drops it, and a change is published.
+    The readers must be chosen again whenever the host list changes.
     """
 
     async def run():
@@ -243,9 +243,9 @@
 
 
 def test_reader_that_is_alive_by_the_list_only_is_made_up_for():
-    """Symptom: a domain waits for its frozen reader until the host list drops it.
+    """A domain doesn't wait for a hung reader until the host list drops it.
 
-    Events: the readers of a domain hang; nobody confirms the others' state any more.
+    The readers of a domain hang, so that no process confirms the state of the others.
     """
 
     async def run():
@@ -271,19 +271,19 @@
 
 
 class HeartbeatBehindAnswer:
-    """Lets a heartbeat of a peer arrive right behind its first answer to a node.
+    """Makes a heartbeat of a peer arrive directly after its first answer to a node.
 
     Parameters
     ----------
     node : Node
         The node that asks.
     offset : int
-        What the heartbeat states.
+        Offset in the heartbeat.
 
     Attributes
     ----------
     asked_count : int
-        Questions of the node that were answered.
+        Number of answered questions of the node.
     """
 
     def __init__(self, node, offset):
@@ -292,7 +292,7 @@
         self.asked_count = 0
 
     def arrange(self, monkeypatch):
-        """Let it happen."""
+        """Patch `LinkPeers.ask` to deliver the heartbeat."""
         ask = LinkPeers.ask
 
         async def ask_and_hear(peers, request, starting):
@@ -308,12 +308,12 @@
 
 
 class AnsweringLink:
-    """A link to a peer that has nothing new to tell.
+    """A link to a peer that has no new records.
 
     Parameters
     ----------
     offset : int
-        Last record that the peer has folded.
+        Last record that the peer has applied.
     """
 
     def __init__(self, offset):
@@ -329,11 +329,11 @@
 
 
 def test_heartbeat_right_behind_an_answer_is_followed_up():
-    """Symptom: a process stays on an old version for good; seen once in 39 runs.
+    """A process doesn't stay on an old version permanently (1 of 39 runs).
 
-    Events: a peer answers that it has nothing new; before that is taken in, it folds 40
-    records and says so.  Cause: the question was held to be in vain for the offset of
-    that heartbeat, though it was put before it, so that the peer was not asked again.
+    A peer answers that it has no new records and, before the answer is handled, applies
+    40 records and reports them in a heartbeat.  If the question counted as unsuccessful
+    for the offset of that heartbeat, the peer would not be asked again.
     """
 
     async def run():
@@ -346,17 +346,17 @@
         await peer.ask(question, 1.0)
         plane._peers.asked.append(peer)
         await plane.note_offset(peer, 40)
-        plane._note_fruitless(0)
+        plane._record_unproductive(0)
         return peer.is_ahead(0)
 
     assert curio.run(run)
 
 
 def test_heartbeat_within_a_question_in_vain_asks_no_second_one(monkeypatch):
-    """Symptom: a diverged peer is asked twice; seen once in a run beside load.
+    """A diverged peer isn't asked twice, as happened once on a loaded machine.
 
-    Events: a peer of another history, which stays ahead, says how far it is while it is
-    being asked.  Cause: the wake-up outlived the question that had answered it.
+    A peer with another history, which stays ahead, sends its offset while it is being
+    asked.  The wake-up for this heartbeat must not outlast the question.
     """
 
     async def run():
@@ -376,7 +376,7 @@
             new.link_to(old)
             await until(lambda: heard.asked_count)
             peer = next(iter(new.control._peers.links.values()))
-            await until(lambda: peer.fruitless_offset == 3)
+            await until(lambda: peer.unproductive_offset == 3)
             await curio.sleep(0.1)
         assert heard.asked_count == 1
 
--- a/siskinthread/control/tests/test_status.py
+++ b/siskinthread/control/tests/test_status.py
@@ -1,4 +1,4 @@
-"""The operators' view of what is in force where."""
+"""The operators' report of the configuration in force on each host."""
 
 import contextlib
 import json
@@ -35,18 +35,18 @@
         )
 
     def address(self):
-        """Return where operators connect."""
+        """Return the address to which operators connect."""
         return self._address
 
     async def start(self):
-        """Start everything."""
+        """Start the operator server, the links and the control plane."""
         self.tasks.append(await curio.spawn(self._operators.run, self._listening))
         await super().start()
 
 
 @contextlib.asynccontextmanager
 async def host_list(nodes):
-    """Serve a host list; yields its address."""
+    """Serve a host list and yield its address."""
     lines = []
     for node in nodes:
         entry = node.listed()
@@ -60,7 +60,7 @@
 
 
 def survey_three(keys):
-    """Return the views of an agent, an entry, and one that does not listen."""
+    """Return the views of an agent, an entry, and an entry that does not listen."""
 
     async def run():
         log = changed_log(3)
@@ -83,7 +83,7 @@
 
 
 def test_every_host_is_asked_and_silent_ones_are_named():
-    """A host that can't be reached is reported as such and delays no other."""
+    """An unreachable host is reported as such and doesn't delay the others."""
     views = survey_three([Key("shared", "secret of the tests")])
     assert [view.entry.host for view in views] == ["a1", "e1", "e2"]
     assert [view.version for view in views] == [2, 2, None]
@@ -92,9 +92,9 @@
 
 
 def test_nothing_is_told_without_the_key():
-    """Symptom: anybody in the network reads what is in force.
+    """A client on the network without the key can't read the configuration's version.
 
-    Events: an operator's command with another key connects.
+    An operator's command connects with another key.
     """
     views = survey_three([Key("shared", "another secret")])
     assert [view.status for view in views] == [None, None, None]
@@ -102,7 +102,7 @@
 
 
 def view(host, domain, version, age_s=1.0, chain="c", leaving=False):
-    """Return a host's answer; without a version it did not answer."""
+    """Return the view of a host; a version of None means that it did not answer."""
     entry = HostEntry(host, "agent", LOOPBACK, 1, domain, leaving)
     if version is None:
         return HostView(entry, problem="no answer in time")
@@ -117,7 +117,7 @@
 
 
 def test_exit_codes_tell_old_hosts_from_silent_ones():
-    """Each state of the hosts has the exit code that the help states."""
+    """Each state of the hosts has the exit code documented in the help text."""
     current = view("a1", "d1", 4)
     cases = [
         (0, [current, view("a2", "d2", 4)]),
@@ -136,7 +136,7 @@
 
 
 def test_report_groups_hosts_by_failure_domain():
-    """Behind and silent hosts are named under their failure domain."""
+    """Outdated and silent hosts are named under their failure domain."""
     found = report(
         view("a1", "d1", 4),
         view("a2", "d1", 3, age_s=95.0),
