--- a/siskinthread/shared_services/__init__.py
+++ b/siskinthread/shared_services/__init__.py
@@ -1,6 +1,6 @@
-"""Services that every process shares, one narrow module for each.
+"""Clients of the services that all processes share, one module for each service.
 
-Replacing an adapter touches its module only.
+A client can be replaced by changing only its module.
 """
 
 from siskinthread.shared_services._host_list import HostEntry, HostListClient
--- a/siskinthread/shared_services/_host_list.py
+++ b/siskinthread/shared_services/_host_list.py
@@ -1,4 +1,4 @@
-"""Client of the host list: ``GET /hosts`` answers a JSON list of hosts.
+"""Client of the host list: ``GET /hosts`` returns a JSON list of hosts.
 
 Each host is an object with the fields of `HostEntry`.
 """
@@ -8,7 +8,7 @@
 
 
 class HostEntry:
-    """One line of the host list.
+    """One host of the host list.
 
     Parameters
     ----------
@@ -17,13 +17,13 @@
     role : str
         "entry" or "agent".
     address : str
-        IP number of the host's process for its peers.
+        IP address on which the host's process listens for peers.
     port : int
-        TCP port of the same.
+        TCP port of that listener.
     failure_domain : str
         Failure domain of the host.
     leaving : bool
-        Whether the host is about to be taken away.
+        Whether the host is about to be removed.
     """
 
     __slots__ = ("address", "failure_domain", "host", "leaving", "port", "role")
@@ -43,7 +43,7 @@
     Parameters
     ----------
     settings : PlatformSettings
-        Address and waits.
+        Address and timeouts.
     """
 
     __slots__ = ("_entity_tag", "_entries", "_http")
@@ -59,13 +59,13 @@
         Raises
         ------
         PlatformUnavailableError
-            If no readable answer came in time.
+            If no valid answer arrived in time.
 
         Notes
         -----
-        The service answers 304 while its ``ETag`` stays the same.  A thousand hosts
-        that each read the whole list once a second would each take in 120 KB/s, 40
-        times what control may cost.
+        The service answers 304 while its ``ETag`` is unchanged.  If each of 1000 hosts
+        read the whole list once a second, each would receive 120 KB/s, 40 times the
+        limit for control traffic.
         """
         answer = await self._http.get_if_changed("/hosts", self._entity_tag)
         if answer is not None:
@@ -82,7 +82,7 @@
             ) from error
 
     async def close(self):
-        """Close the kept connection."""
+        """Close the kept-alive connections."""
         await self._http.close()
 
 
--- a/siskinthread/shared_services/_http.py
+++ b/siskinthread/shared_services/_http.py
@@ -1,4 +1,4 @@
-"""Small HTTP client with kept connections, deadlines and a size limit."""
+"""HTTP client with kept-alive connections, deadlines and a limit on body sizes."""
 
 import json
 import socket
@@ -15,8 +15,8 @@
 STATUS_NOT_MODIFIED = 304
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    # A path may forget a connection without a reset.  Without probes, a read that the
-    # service answers only when there is news would wait for its whole time in vain.
+    # A device on the network path may drop a connection without a reset.  Without
+    # keep-alive probes, a long poll on such a connection would run into its timeout.
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
@@ -25,18 +25,18 @@
 
 
 class Answer:
-    """A whole answer.
+    """A complete HTTP response.
 
     Parameters
     ----------
     status : int
         HTTP status.
     entity_tag : str or None
-        Value of the ``ETag`` header.
+        Value of the ``ETag`` header; None without the header.
     body : bytes
-        The body.
+        The response body.
     headers : list of tuple of bytes
-        All headers, their names in lower case.
+        All headers, with names in lower case.
     """
 
     __slots__ = ("body", "entity_tag", "headers", "status")
@@ -49,23 +49,23 @@
 
 
 class HttpClient:
-    """Requests to one service.
+    """Client of one HTTP service.
 
     Parameters
     ----------
     service : str
-        Name of the service, for messages.
+        Name of the service, for error messages.
     address : siskinthread.settings.Address
-        Where it listens.
+        Address on which the service listens.
     answer_wait_s : float
-        Longest wait for an answer.
+        Longest wait for an answer, seconds.
     size_limit_bytes : int
         Longest body that is accepted.
 
     Notes
     -----
-    Every failure is a `PlatformUnavailableError`: to the caller it makes no difference
-    whether the service refused, was silent or spoke nonsense.
+    Every failure is a `PlatformUnavailableError`, because callers need not distinguish
+    a refusal, a timeout and an invalid answer.
     """
 
     __slots__ = ("_address", "_answer_wait_s", "_idle", "_service", "_size_limit_bytes")
@@ -87,53 +87,53 @@
         target : str
             Path and query.
         extra_wait_s : float
-            Time that the service itself was asked to wait.
+            Time for which the service was asked to wait, seconds; added to the timeout.
 
         Raises
         ------
         PlatformUnavailableError
-            If no whole answer with status 200 came in time.
+            If no complete answer with status 200 arrived in time.
         """
         answer = await self._request("GET", target, b"", extra_wait_s)
         return answer.body
 
     async def get_if_changed(self, target, entity_tag):
-        """Return the `Answer` to a GET, or None if it still has an entity tag.
+        """Return the `Answer` to a GET, or None if its entity tag is unchanged.
 
         Parameters
         ----------
         target : str
             Path and query.
         entity_tag : str or None
-            Tag of the last answer.
+            Entity tag of the last answer; None for an unconditional request.
 
         Raises
         ------
         PlatformUnavailableError
-            If no whole answer with status 200 or 304 came in time.
+            If no complete answer with status 200 or 304 arrived in time.
         """
         headers = [] if entity_tag is None else [("if-none-match", entity_tag)]
         answer = await self._request("GET", target, b"", 0.0, headers)
         return None if answer.status == STATUS_NOT_MODIFIED else answer
 
     async def call(self, method, target, body, headers, wait_s):
-        """Return the `Answer` to any request, whatever its status.
+        """Send a request and return its `Answer`, whatever the status.
 
         Parameters
         ----------
         method, target : str
-            Request line.
+            Method and request target of the request line.
         body : bytes
-            Its body.
+            The request body.
         headers : list of tuple of str
-            Further headers.
+            Additional headers.
         wait_s : float
-            Longest wait for the answer.
+            Longest wait for the answer, seconds.
 
         Raises
         ------
         PlatformUnavailableError
-            If no whole answer came in time; the request may have taken effect.
+            If no complete answer arrived in time; the request may have taken effect.
         """
         try:
             return await curio.timeout_after(
@@ -145,13 +145,13 @@
             raise self._error(f"{method} failed: {error!r}") from error
 
     async def post(self, target, body, headers=()):
-        """Return the body of the answer to a POST, which is sent once at most.
+        """Return the body of the answer to a POST, which is sent at most once.
 
         Raises
         ------
         PlatformUnavailableError
-            If no whole answer with status 200 came in time; the request may have
-            taken effect.
+            If no complete answer with status 200 arrived in time; the request may
+            have taken effect.
         """
         wait_s = self._answer_wait_s
         answer = await self.call("POST", target, body, headers, wait_s)
@@ -159,7 +159,7 @@
         return answer.body
 
     async def close(self):
-        """Close the kept connections."""
+        """Close the idle connections."""
         while self._idle:
             await self._idle.pop().close()
 
@@ -180,13 +180,14 @@
         try:
             result = await connection.exchange(method, target, body, headers)
         except BaseException:
-            # A connection that failed or was given up half-way may still deliver the
-            # late answer, which the next request would take for its own.  It is not
-            # reset: an order that a slow rank has not read yet must still arrive, or a
-            # group that is held waits for the next one.
+            # After a failure or a cancellation, the connection may still deliver the
+            # late answer, which would be mistaken for the answer to the next request.
+            # It is closed without a reset, so that an order that a slow rank has not
+            # read yet still arrives; otherwise a held group would wait for the next
+            # order.
             await connection.close()
             raise
-        if connection.reusable() and len(self._idle) < IDLE_CONNECTIONS_KEPT:
+        if connection.prepare_reuse() and len(self._idle) < IDLE_CONNECTIONS_KEPT:
             self._idle.append(connection)
         else:
             await connection.close()
@@ -195,12 +196,12 @@
     async def _take_connection(self):
         while self._idle:
             connection = self._idle.pop()
-            if connection.quiet():
+            if connection.is_open_and_idle():
                 return connection
             await connection.close()
         address = self._address
-        # Addresses are IP numbers; `curio.open_connection` would start a thread for
-        # looking the name up.
+        # Addresses are IP addresses.  `curio.open_connection` would start a thread for
+        # name resolution.
         sock = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             for level, name, value in SOCKET_OPTIONS:
@@ -219,7 +220,7 @@
 
 
 class _Connection:
-    """One kept connection.
+    """One kept-alive connection.
 
     Parameters
     ----------
@@ -239,12 +240,12 @@
         self._size_limit_bytes = size_limit_bytes
         self._protocol = h11.Connection(h11.CLIENT)
 
-    def quiet(self):
-        """Return whether an idle connection is still open and has nothing to read.
+    def is_open_and_idle(self):
+        """Return whether the connection is open and has no unread data.
 
-        A server closes idle connections when it restarts.  A request written to such
-        a connection fails although it never arrived; an append would then be reported
-        as possibly done.  Looking first makes that rare.
+        A server closes idle connections when it restarts.  A request written to such a
+        connection fails without having arrived, and an append would be reported as
+        possibly applied.  Checking before the write makes this rare.
         """
         try:
             with self._socket.blocking() as raw:
@@ -255,8 +256,8 @@
             return False
         return False
 
-    def reusable(self):
-        """Return whether another request may follow, and make ready for it."""
+    def prepare_reuse(self):
+        """Prepare the protocol for the next request; return whether one may follow."""
         protocol = self._protocol
         if (protocol.our_state, protocol.their_state) != (h11.DONE, h11.DONE):
             return False
@@ -264,7 +265,7 @@
         return True
 
     async def exchange(self, method, target, body, headers):
-        """Send a request and return its `Answer`."""
+        """Send a request and return the `Answer`."""
         await self._socket.sendall(self._encode(method, target, body, headers))
         head = await self._next_event()
         while isinstance(head, h11.InformationalResponse):
@@ -322,14 +323,14 @@
     Parameters
     ----------
     service : str
-        Name of the service, for messages.
+        Name of the service, for error messages.
     body : bytes
-        The answer.
+        Body of the answer.
 
     Raises
     ------
     PlatformUnavailableError
-        If the body is no JSON.
+        If the body is not valid JSON.
     """
     try:
         return json.loads(body)
--- a/siskinthread/shared_services/_log.py
+++ b/siskinthread/shared_services/_log.py
@@ -1,11 +1,11 @@
 """Client of the append-only log service.
 
-The service speaks HTTP:
+The service has an HTTP interface:
 
-- ``POST /streams/NAME`` appends the body; answers ``{"offset": n}``.
-- ``GET /streams/NAME?from=N&limit=M&wait_ms=W`` answers ``{"first_offset": a,
-  "next_offset": b, "records": [{"offset", "at_ms", "body" (base64)}]}``, waiting up
-  to W ms when there is nothing yet.  ``first_offset`` is the oldest kept record.
+- ``POST /streams/NAME`` appends the body and returns ``{"offset": n}``.
+- ``GET /streams/NAME?from=N&limit=M&wait_ms=W`` returns ``{"first_offset": a,
+  "next_offset": b, "records": [{"offset", "at_ms", "body" (base64)}]}`` and waits up to
+  W ms for a record if there is none yet.  ``first_offset`` is the oldest record kept.
 """
 
 import base64
@@ -23,11 +23,11 @@
     Parameters
     ----------
     offset : int
-        Place in the stream; offsets rise by one.
+        Position in the stream; offsets increase by one.
     at_ms : int
-        The service's wall clock at the append, Unix milliseconds.
+        Time of the append by the service's wall clock, Unix milliseconds.
     body : bytes
-        What was appended.
+        The appended bytes.
     """
 
     __slots__ = ("at_ms", "body", "offset")
@@ -39,12 +39,12 @@
 
 
 class LogSpan:
-    """Answer of a read.
+    """Result of a read.
 
     Parameters
     ----------
     first_offset, next_offset : int
-        Oldest record kept, and the offset that the next append will get.
+        Offsets of the oldest record kept and of the next append.
     records : list of LogRecord
         Consecutive records.
     """
@@ -58,17 +58,17 @@
 
 
 class LogClient:
-    """Client of the log service; connections are kept open.
+    """Client of the log service with kept-alive connections.
 
     Parameters
     ----------
     settings : PlatformSettings
-        Address and waits.
+        Address and timeouts.
 
     Notes
     -----
-    An append is never repeated here.  Its answer may be lost after it took effect, and
-    only the publisher can tell, by reading the stream for its record id.
+    The client never retries an append.  The answer may be lost after the append took
+    effect; only the publisher can find out, by looking for its record id in the stream.
     """
 
     __slots__ = ("_http",)
@@ -93,7 +93,7 @@
         Raises
         ------
         PlatformUnavailableError
-            If no readable answer came in time; the append may have taken effect.
+            If no valid answer arrived in time; the append may have taken effect.
         """
         answer = parse_json("log", await self._http.post(_path(stream), body))
         try:
@@ -109,11 +109,12 @@
         stream : str
             Name of the stream.
         from_offset : int
-            First record wanted.
+            Offset of the first record to return.
         limit : int
-            Most records wanted.
+            Most records to return.
         wait_s : float
-            How long the service may wait for a record when there is none yet.
+            Time for which the service may wait for a record if there is none yet,
+            seconds.
 
         Returns
         -------
@@ -122,7 +123,7 @@
         Raises
         ------
         PlatformUnavailableError
-            If no readable answer came in time.
+            If no valid answer arrived in time.
         """
         query = {
             "from": from_offset,
@@ -137,7 +138,7 @@
             raise _unexpected(error) from error
 
     async def close(self):
-        """Close the kept connections."""
+        """Close the kept-alive connections."""
         await self._http.close()
 
 
@@ -157,8 +158,8 @@
 
 
 def _check_consecutive(records):
-    # A span with a hole would be folded as if the missing records never were, and two
-    # processes would hold different states under one version.
+    # A span with a gap would be applied as if the missing records did not exist, and
+    # two processes would hold different states under the same version.
     for earlier, later in zip(records, records[1:], strict=False):
         if later.offset != earlier.offset + 1:
             raise ValueError(f"record {later.offset} follows {earlier.offset}")
--- a/siskinthread/shared_services/tests/__init__.py
+++ b/siskinthread/shared_services/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of platform."""
+"""Tests of siskinthread.shared_services."""
--- a/siskinthread/shared_services/tests/_raw_server.py
+++ b/siskinthread/shared_services/tests/_raw_server.py
@@ -1,4 +1,4 @@
-"""A server that follows a script, for answers that no real service should give."""
+"""A scripted server for invalid answers and failures."""
 
 import curio
 from curio.network import run_server
@@ -10,16 +10,16 @@
 
 
 class RawServer:
-    """Accepts connections and lets a function play each of them.
+    """Accepts connections and passes each one to a function.
 
     Parameters
     ----------
-    play : callable
-        ``async play(client, number)`` with the connection and its number from 1 on.
+    serve_connection : callable
+        ``async serve_connection(client, number)`` serves a connection; numbers start at 1.
     """
 
-    def __init__(self, play):
-        self._play = play
+    def __init__(self, serve_connection):
+        self._serve_connection = serve_connection
         self._listener = curio.tcp_server_socket("127.0.0.1", 0)
         self._task = None
         self.connections = 0
@@ -34,7 +34,7 @@
 
     async def _serve(self, client, address):
         self.connections += 1
-        await self._play(client, self.connections)
+        await self._serve_connection(client, self.connections)
 
 
 async def read_head(client):
@@ -49,10 +49,10 @@
 
 
 def json_answer(body):
-    """Return a whole HTTP answer with a body."""
+    """Return a complete HTTP response with a body."""
     return b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body)
 
 
 def settings_for(address, **values):
-    """Return settings for which one address is the whole platform."""
+    """Return settings with one address for all services of the platform."""
     return PlatformSettings(log=address, host_list=address, **values)
--- a/siskinthread/shared_services/tests/test_host_list.py
+++ b/siskinthread/shared_services/tests/test_host_list.py
@@ -12,20 +12,20 @@
 
 
 class CountingExchange:
-    """Notes the size of each body."""
+    """Records the size of each body."""
 
     def __init__(self, exchange, sizes_bytes):
         self._exchange = exchange
         self._sizes_bytes = sizes_bytes
 
     async def answer(self, status, body, **options):
-        """Pass an answer on."""
+        """Forward an answer."""
         self._sizes_bytes.append(len(body))
         await self._exchange.answer(status, body, **options)
 
 
 def entry(host):
-    """Return a line of the list as its service writes it."""
+    """Return a host in the form in which the service returns it."""
     return {
         "host": host,
         "role": "agent",
@@ -36,10 +36,10 @@
 
 
 def test_unchanged_list_is_not_sent_again():
-    """A list that stays the same is not transferred, and a change is seen at once.
+    """An unchanged list is not transferred again, and a change is seen at once.
 
-    Symptom: each of a thousand hosts takes in 120 KB a second.  Events: the list is
-    read once a second and hardly changes.  Cause: every read transfers the whole list.
+    If every read transferred the whole list, which is read once a second and rarely
+    changes, each of 1000 hosts would receive 120 KB/s.
     """
     standin = HostListStandin(argparse.Namespace(lag_s=0.0))
     sizes_bytes = []
--- a/siskinthread/shared_services/tests/test_http.py
+++ b/siskinthread/shared_services/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Failures of the platform's services as their clients see them."""
+"""Failures of the platform's services as seen by their clients."""
 
 import socket
 import threading
@@ -26,14 +26,14 @@
 
 
 def test_a_silent_service_is_unavailable_and_its_connection_is_given_up():
-    """A late answer is never taken for the answer to the next request.
+    """A late answer is never mistaken for the answer to the next request.
 
-    Symptom: a reader gets the records of an earlier read.  Sequence: the service is
-    slower than the wait; the client gives up; the late answer arrives on the kept
-    connection; the next request goes out on it.  Cause: the connection was kept.
+    The service is slower than the timeout, and its answer arrives after the client has
+    given up.  If the connection were reused, a reader would get the records of an
+    earlier read.
     """
 
-    async def play(client, number):
+    async def serve_connection(client, number):
         await read_head(client)
         if number > 1:
             await client.sendall(json_answer(b"[]"))
@@ -41,7 +41,7 @@
             await client.sendall(json_answer(b'["late"]'))
 
     async def main():
-        async with RawServer(play) as server:
+        async with RawServer(serve_connection) as server:
             client = HttpClient("log", server.address, 0.05)
             with pytest.raises(PlatformUnavailableError, match="no answer"):
                 await client.get("/")
@@ -53,25 +53,24 @@
 
 
 def test_a_connection_that_the_service_closed_is_replaced_before_it_is_used():
-    """An append after an idle time is not reported lost.
+    """The first append after a restart of the service is not reported as lost.
 
-    Symptom: the first append after the service was restarted fails and "may have
-    taken effect", although it never left.  Sequence: an answer comes; the service
-    closes the idle connection; the next append is written to it.  Cause: the client
-    did not look whether the kept connection was still open.
+    The service closes the idle connection.  If the client didn't check it before the
+    next append, the append would fail with "may have taken effect" although it was
+    never received.
     """
 
     async def main():
         closed = curio.Event()
 
-        async def play(client, number):
+        async def serve_connection(client, number):
             await read_head(client)
             await client.sendall(json_answer(b"[%d]" % number))
             if number == 1:
                 await client.close()
                 await closed.set()
 
-        async with RawServer(play) as server:
+        async with RawServer(serve_connection) as server:
             client = HttpClient("log", server.address, 1.0)
             assert await client.get("/") == b"[1]"
             await closed.wait()
@@ -84,16 +83,15 @@
 def test_an_append_whose_answer_is_lost_is_sent_once():
     """The client reports the loss and leaves the retry to the publisher.
 
-    Symptom: one change stands twice in the stream.  Sequence: the append takes
-    effect; the connection breaks before the answer; the client sends it again.
-    Cause: a retry below the one who knows the record id.
+    The append takes effect and the connection breaks before the answer.  A retry by the
+    client, which doesn't know the record id, would append the change a second time.
     """
 
-    async def play(client, number):
+    async def serve_connection(client, number):
         await read_head(client)
 
     async def main():
-        async with RawServer(play) as server:
+        async with RawServer(serve_connection) as server:
             client = LogClient(settings_for(server.address))
             with pytest.raises(PlatformUnavailableError, match="POST failed"):
                 await client.append("configuration", b"")
@@ -131,14 +129,14 @@
     ],
 )
 def test_an_unusable_answer_is_an_unavailable_service(answer):
-    """Whatever a service answers, only one kind of error comes out."""
+    """Every invalid answer raises a `PlatformUnavailableError`."""
 
-    async def play(client, number):
+    async def serve_connection(client, number):
         await read_head(client)
         await client.sendall(answer)
 
     async def main():
-        async with RawServer(play) as server:
+        async with RawServer(serve_connection) as server:
             settings = settings_for(server.address)
             with pytest.raises(PlatformUnavailableError):
                 await LogClient(settings).read("configuration", 0)
@@ -149,15 +147,15 @@
 
 
 def test_an_endless_answer_is_cut_off():
-    """A body over the size limit ends the request instead of filling the memory."""
+    """A body over the size limit ends the request instead of exhausting memory."""
 
-    async def play(client, number):
+    async def serve_connection(client, number):
         await read_head(client)
         await client.sendall(b"HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\n")
         await client.sendall(b"x" * 99_999)
 
     async def main():
-        async with RawServer(play) as server:
+        async with RawServer(serve_connection) as server:
             client = HttpClient("log", server.address, 1.0, size_limit_bytes=1000)
             with pytest.raises(PlatformUnavailableError, match="over 1000 bytes"):
                 await client.get("/")
@@ -166,14 +164,14 @@
 
 
 def test_the_host_list_is_read():
-    """Every field of a host arrives."""
+    """Every field of a host is read."""
 
-    async def play(client, number):
+    async def serve_connection(client, number):
         await read_head(client)
         await client.sendall(json_answer(ONE_HOST))
 
     async def main():
-        async with RawServer(play) as server:
+        async with RawServer(serve_connection) as server:
             (entry,) = await HostListClient(settings_for(server.address)).fetch()
         found = [entry.host, entry.role, entry.address, entry.port]
         assert found == ["entry-1", "entry", "127.0.0.1", 7]
@@ -183,22 +181,22 @@
 
 
 def test_call_that_was_given_up_still_arrives():
-    """A group of 63 ranks was held for 5.4 s in a day instead of 1.6 s.
+    """A group isn't held longer because an unanswered order was lost in a reset.
 
-    Its controller resets the connection of each order that is not answered in time.
-    A slow rank, or one behind a short cut, has not read the order yet, which is lost;
-    the group waits until another order comes.  Ranks and store allow for calls that
-    take effect late, so that a close, which lets them arrive, is the better end.
+    If a controller reset the connection of an order that is not answered in time, a
+    slow rank, or a rank behind a short network cut, would never read the order, and the
+    group would wait for the next one: a group of 63 ranks was held for 5.4 s a day
+    instead of 1.6 s.  Ranks and store tolerate calls that take effect late.
     """
     arrived = []
 
-    async def play(client, number):
+    async def serve_connection(client, number):
         if await read_head(client):
             arrived.append(number)
             await client.sendall(json_answer(b"[]"))
 
     async def main():
-        async with RawServer(play) as server:
+        async with RawServer(serve_connection) as server:
             relay = Relay(server.address.host, server.address.port)
             relaying = await curio.spawn(relay.run)
             client = HttpClient("rank", Address(*relay.address), 0.05)
@@ -214,10 +212,10 @@
 
 
 def test_answer_that_arrived_while_the_process_stood_still_is_read():
-    """Symptom: an order that was answered in 10 ms counts as unanswered.
+    """An order that was answered in 10 ms doesn't count as unanswered.
 
-    Events: the process gets no processor for 0.3 s while it waits 0.1 s for an answer,
-    which arrives meanwhile.  Cause: the wait is over when the process goes on.
+    The process gets no processor time for 0.3 s while it waits 0.1 s for an answer that
+    arrives meanwhile; the timeout has expired when the process resumes.
     """
     with socket.create_server(("127.0.0.1", 0)) as listener:
 
@@ -228,7 +226,7 @@
                     connection.recv(4096)
                     connection.sendall(json_answer(b"[]"))
 
-        async def stand_still():
+        async def block():
             time.sleep(0.3)
 
         async def main():
@@ -236,7 +234,7 @@
             await client.call("GET", "/", b"", [], 5.0)
             asked = await curio.spawn(client.call, "GET", "/", b"", [], 0.1)
             await curio.sleep(0)
-            await stand_still()
+            await block()
             answer = await asked.join()
             await client.close()
             return answer.body
