--- a/siskinthread/shared_services/tests/_raw_server.py
+++ b/siskinthread/shared_services/tests/_raw_server.py
@@ -15,7 +15,7 @@
     Parameters
     ----------
     serve_connection : callable
-        ``async serve_connection(client, number)`` serves a connection; numbers start at 1.
+        ``async serve_connection(client, number)``; numbers start at 1.
     """
 
     def __init__(self, serve_connection):
