--- a/siskinthread/wire/__init__.py
+++ b/siskinthread/wire/__init__.py
@@ -1,7 +1,7 @@
 """Frames between the system's processes: messages, codec and handshake.
 
-A frame is a thrift union in the compact protocol behind a four-byte big-endian length.
-The generated classes are committed; ``make generate`` makes them anew from
+A frame is a four-byte big-endian length followed by a thrift union in the compact
+protocol.  The generated classes are committed; ``make generate`` regenerates them from
 ``thrift/``.
 """
 
--- a/siskinthread/wire/_channel.py
+++ b/siskinthread/wire/_channel.py
@@ -12,7 +12,7 @@
 
 
 class Channel:
-    """Frames over one TCP connection.
+    """Sends and receives frames over one TCP connection.
 
     One task may receive and one other task may send at the same time.
 
@@ -21,7 +21,7 @@
     socket : curio.io.Socket
         A connected socket.
     frame_class : type
-        The thrift union that the peer sends.
+        Class of the thrift union that the peer sends.
     frame_limit_bytes : int
         Longest frame that is accepted.
     """
@@ -29,25 +29,25 @@
     __slots__ = ("_decoder", "_socket", "peer_hello")
 
     def __init__(self, socket, frame_class, frame_limit_bytes):
-        # Small frames leave at once; Nagle's algorithm would hold a token back until
-        # the peer's delayed acknowledgement of the one before, some 40 ms.
+        # Send small frames at once.  Nagle's algorithm would delay a token until the
+        # peer's delayed acknowledgement of the previous one, about 40 ms.
         socket.setsockopt(socket_module.IPPROTO_TCP, socket_module.TCP_NODELAY, 1)
         self._socket = socket
         self._decoder = FrameDecoder(frame_class, frame_limit_bytes)
         self.peer_hello = None
 
     async def receive(self):
-        """Wait for bytes and return the frames that they complete.
+        """Wait for bytes and return the frames completed by them.
 
         Returns
         -------
         list
-            Possibly empty.
+            Complete frames; may be empty.
 
         Raises
         ------
         ConnectionLostError
-            If the peer closed the connection or it failed.
+            If the peer closed the connection or the connection failed.
         ProtocolError
             If the bytes are not frames.
         """
@@ -60,24 +60,24 @@
         return self._decoder.feed(data)
 
     async def send(self, *frames):
-        """Write frames with one call of the socket.
+        """Write frames with one call to the socket.
 
         Raises
         ------
         ConnectionLostError
-            If the connection failed; some of the bytes may have left.
+            If the connection failed; part of the bytes may have been sent.
         """
         await self.send_bytes(b"".join([encode_frame(frame) for frame in frames]))
 
     async def send_bytes(self, data):
-        """Write frames that are already encoded."""
+        """Write encoded frames; raises as `send`."""
         try:
             await self._socket.sendall(data)
         except OSError as error:
             raise ConnectionLostError(str(error)) from error
 
     async def shut_down(self):
-        """End both directions, so that a task that waits in `receive` returns."""
+        """Shut down both directions, so that a task waiting in `receive` returns."""
         with contextlib.suppress(OSError):
             await self._socket.shutdown(socket_module.SHUT_RDWR)
 
@@ -87,25 +87,25 @@
 
 
 async def open_channel(host, port, frame_class, frame_limit_bytes, dial_wait_s):
-    """Connect and return a channel, not yet authenticated.
+    """Open a connection and return its channel, not yet authenticated.
 
     Parameters
     ----------
     host : str
-        IP number.
+        IP address.
     port : int
         TCP port.
     frame_class : type
-        The thrift union that the peer sends.
+        Class of the thrift union that the peer sends.
     frame_limit_bytes : int
         Longest frame that is accepted.
     dial_wait_s : float
-        Longest time for the connection to come up.
+        Longest wait for the connection, seconds.
 
     Raises
     ------
     ConnectionLostError
-        If nobody answered in time.
+        If the connection was refused or not established in time.
     """
     try:
         socket = await curio.timeout_after(
--- a/siskinthread/wire/_codec.py
+++ b/siskinthread/wire/_codec.py
@@ -1,4 +1,4 @@
-"""Bytes to frames and back."""
+"""Encodes and decodes frames."""
 
 import struct
 import threading
@@ -16,9 +16,9 @@
 
 
 class _Encoder(threading.local):
-    """Writes frames with one protocol object for each thread.
+    """Encodes frames with one protocol object for each thread.
 
-    Making the protocol object takes longer than writing a small frame.
+    Creating the protocol object takes longer than encoding a small frame.
     """
 
     def __init__(self):
@@ -26,16 +26,16 @@
         self._protocol = TCompactProtocolAccelerated(self._transport)
 
     def encode(self, frame):
-        """Return the bytes of a frame without its length."""
+        """Return the bytes of a frame without its length prefix."""
         chunks = self._transport.chunks
-        # A frame that can't be written may leave its first bytes behind.
+        # An earlier frame that failed to encode may have left its first bytes.
         chunks.clear()
         frame.write(self._protocol)
         return b"".join(chunks)
 
 
 class _WrittenBytes(TTransportBase):
-    """Collects what thrift's writers write."""
+    """Collects the bytes that thrift's writers write."""
 
     def __init__(self):
         self.chunks = []
@@ -49,7 +49,7 @@
 
 
 def encode_frame(frame):
-    """Return the bytes of one frame, its length first.
+    """Return the bytes of one frame with its length prefix.
 
     Parameters
     ----------
@@ -65,7 +65,7 @@
 
 
 def message_of(frame):
-    """Return the one field of a union that is set, or None."""
+    """Return the value of the field of a union that is set, or None."""
     for name in frame.__slots__:
         message = getattr(frame, name)
         if message is not None:
@@ -74,21 +74,21 @@
 
 
 class FrameDecoder:
-    """Cuts a byte stream into frames.
+    """Splits a byte stream into frames.
 
     Parameters
     ----------
     frame_class : type
-        The thrift union that the peer sends.
+        Class of the thrift union that the peer sends.
     frame_limit_bytes : int
-        Longest frame that is accepted.  Without it, one damaged length would make
-        this side wait for, and store, up to 4 GiB.
+        Longest frame that is accepted.  Without this limit, a single damaged length
+        would make this side wait for and store up to 4 GiB.
 
     Notes
     -----
-    Frames are read where they lie in the received bytes, with one protocol object for
-    the life of the decoder: slicing out each frame and making a protocol for it took
-    longer than reading it.
+    Frames are read in place from the received bytes, with one protocol object for the
+    lifetime of the decoder.  Slicing out each frame and creating a protocol object for
+    it took longer than reading the frame.
     """
 
     __slots__ = (
@@ -108,10 +108,9 @@
         self._kept_bytes = 0
         self._needed_bytes = 0
         self._transport = _ReceivedBytes()
-        # One string or list can't be larger than its frame.  Without the limits, a few
-        # bytes that claim a list of two thousand million items would have the reader
-        # allocate it before it notices that the items are missing; the peer need not
-        # even be authenticated for that.
+        # A string or list can't be larger than its frame.  Without these limits, a few
+        # bytes that declare a list of 2e9 items, possibly from an unauthenticated peer,
+        # would make the reader allocate the list before it finds the items missing.
         self._protocol = TCompactProtocolAccelerated(
             self._transport,
             string_length_limit=frame_limit_bytes,
@@ -119,7 +118,7 @@
         )
 
     def feed(self, data):
-        """Add received bytes and return the frames that are now whole.
+        """Add received bytes and return the frames that are now complete.
 
         Parameters
         ----------
@@ -133,7 +132,7 @@
         Raises
         ------
         ProtocolError
-            If a length is over the limit or a frame can't be read.
+            If a length exceeds the limit or a frame can't be decoded.
         """
         if self._chunks:
             self._keep(data)
@@ -178,16 +177,16 @@
         try:
             frame.read(self._protocol)
         except Exception as error:
-            # The generated readers raise many unrelated types on damaged input
-            # (EOFError, UnicodeDecodeError, TypeError, TProtocolException).  All of
-            # them mean the same here; anything that slipped through would end the
-            # connection's task without the peer being told why.
+            # On damaged input, the generated readers raise many unrelated exceptions
+            # (EOFError, UnicodeDecodeError, TypeError, TProtocolException).  All mean
+            # the same here; an exception that is not converted would end the task of
+            # the connection without a reason for the peer.
             raise ProtocolError(f"unreadable frame: {error!r}") from error
         return frame
 
 
 class _ReceivedBytes(TTransportBase, CReadableTransport):
-    """Lets thrift's readers, in C or Python, read from received bytes."""
+    """Source of received bytes for thrift's readers in C and Python."""
 
     cstringio_buf = None
 
@@ -196,5 +195,5 @@
         return self.cstringio_buf.read(size_bytes)
 
     def cstringio_refill(self, partial, size_bytes):
-        """Tell that no more bytes belong to the frame."""
+        """Raise EOFError, because the frame has no more bytes."""
         raise EOFError
--- a/siskinthread/wire/_handshake.py
+++ b/siskinthread/wire/_handshake.py
@@ -1,9 +1,9 @@
 """Mutual authentication with a shared key.
 
 Each side sends `Hello` with a fresh nonce, then `Proof`, an HMAC over both hellos.  The
-role is inside the signed bytes, so that a peer's own proof can't be mirrored back to
-it: without that, an attacker without the key could answer a challenge by opening a
-second connection and copying the answer.
+signed bytes include the signer's side, dialler or listener, so that a proof can't be
+reflected to its sender.  Otherwise an attacker without the key could answer a challenge
+by opening a second connection and copying the answer received on it.
 """
 
 import hashlib
@@ -23,7 +23,7 @@
 
 
 class Identity:
-    """Who this process is.
+    """Identity of this process towards its peers.
 
     Parameters
     ----------
@@ -34,9 +34,9 @@
     role : str
         "entry", "agent" or "operator".
     services : list of str
-        Services that an agent stands before.
+        Services whose requests an agent executes.
     incarnation : str or None
-        Name of this run of the process; a random one by default.
+        Identifier of this run of the process; None for a random one.
     """
 
     __slots__ = ("failure_domain", "host", "incarnation", "role", "services")
@@ -49,7 +49,7 @@
         self.incarnation = incarnation or secrets.token_hex(8)
 
     def hello(self):
-        """Return a hello with a fresh nonce."""
+        """Return a `Hello` with a fresh nonce."""
         return Hello(
             protocol_version=PROTOCOL_VERSION,
             host=self.host,
@@ -67,24 +67,24 @@
     Parameters
     ----------
     channel : Channel
-        A channel on which nothing was sent or received yet.
+        A channel on which nothing has been sent or received.
     identity : Identity
-        This process.
+        Identity of this process.
     settings : PeerSettings
-        Keys and waits.
+        Keys and timeouts.
     dialled : bool
         True on the side that opened the connection.
 
     Returns
     -------
     tuple
-        The peer's `Hello`, and the list of frames that arrived right behind the
+        The peer's `Hello`, and the list of frames that arrived directly after the
         handshake.
 
     Raises
     ------
     HandshakeError
-        If the peer is unknown.
+        If the peer has no common key or another protocol version.
     ConnectionLostError
         If the connection ended or the handshake took too long.
     """
@@ -107,13 +107,13 @@
     frames = await _receive_at_least_one(channel, [])
     peer_hello = frames.pop(0).hello
     _check_hello(peer_hello)
-    own_place, peer_place = (DIALLER, LISTENER) if dialled else (LISTENER, DIALLER)
+    own_side, peer_side = (DIALLER, LISTENER) if dialled else (LISTENER, DIALLER)
     signing_key = settings.keys[0]
-    digest = _digest(signing_key.secret, own_place, own_hello, peer_hello)
+    digest = _digest(signing_key.secret, own_side, own_hello, peer_hello)
     await channel.send(Frame(proof=Proof(key_id=signing_key.id, digest=digest)))
     frames = await _receive_at_least_one(channel, frames)
     proof = frames.pop(0).proof
-    _check_proof(proof, settings.keys, peer_place, peer_hello, own_hello)
+    _check_proof(proof, settings.keys, peer_side, peer_hello, own_hello)
     channel.peer_hello = peer_hello
     return peer_hello, frames
 
@@ -131,20 +131,20 @@
         raise HandshakeError(f"protocol version {hello.protocol_version} is unknown")
 
 
-def _check_proof(proof, keys, peer_place, peer_hello, own_hello):
+def _check_proof(proof, keys, peer_side, peer_hello, own_hello):
     if proof is None or not isinstance(proof.digest, bytes):
         raise HandshakeError("the second frame is no proof")
     for key in keys:
-        expected = _digest(key.secret, peer_place, peer_hello, own_hello)
+        expected = _digest(key.secret, peer_side, peer_hello, own_hello)
         if key.id == proof.key_id and hmac.compare_digest(expected, proof.digest):
             return
     raise HandshakeError("the proof fits no key")
 
 
-def _digest(secret, place, signer_hello, other_hello):
+def _digest(secret, side, signer_hello, other_hello):
     message = b"".join(
         [
-            place,
+            side,
             encode_frame(Frame(hello=signer_hello)),
             encode_frame(Frame(hello=other_hello)),
         ]
--- a/siskinthread/wire/_settings.py
+++ b/siskinthread/wire/_settings.py
@@ -4,15 +4,18 @@
 
 
 class PeerSettings(Section):
-    """Connections between the system's processes."""
+    """Settings of connections between the system's processes."""
 
     keys = Item(
         KeyList,
-        description="Shared keys as `{id, secret}`; the first one signs, every one is "
-        "accepted, so that two are valid while keys rotate.",
+        description="Shared keys as `{id, secret}`; the first key signs and every key "
+        "is accepted, so that two keys are valid during a rotation.",
     )
     frame_limit_bytes = Item(
-        int, default=4 * 1024 * 1024, minimum=1024, description="Longest frame."
+        int,
+        default=4 * 1024 * 1024,
+        minimum=1024,
+        description="Longest frame that is accepted.",
     )
     dial_wait_s = Item(
         float, default=1.0, minimum=0.01, description="Longest wait for a connection."
@@ -27,14 +30,14 @@
         float,
         default=3.0,
         minimum=0.02,
-        description="Silence after which a connection is given up and replaced.",
+        description="Silence after which a connection is closed and replaced.",
     )
     reask_limit_s = Item(
         float,
         default=10.0,
         minimum=0.0,
-        description="Longest wait for an agent out of reach before the outcome of its "
-        "requests is given as unknown.",
+        description="Longest wait for an unreachable agent before the outcome of its "
+        "requests is reported as unknown.",
     )
     read_interval_s = Item(
         float,
@@ -47,5 +50,5 @@
         int,
         default=256 * 1024,
         minimum=1024,
-        description="Bytes of one response that may be under way unacknowledged.",
+        description="Most unacknowledged bytes in flight of one response.",
     )
--- a/siskinthread/wire/tests/test_codec.py
+++ b/siskinthread/wire/tests/test_codec.py
@@ -20,19 +20,21 @@
 
 FRAME_LIMIT_BYTES = 4096
 STRUCT_STOP = b"\x00"
-unhurried = settings(derandomize=True, deadline=None, max_examples=150)
+without_deadline = settings(derandomize=True, deadline=None, max_examples=150)
 
 
 def pieces_of(data, cuts):
-    """Return `data` cut at the places of `cuts`."""
-    places = sorted({cut % (len(data) + 1) for cut in cuts} | {0, len(data)})
-    return [data[start:stop] for start, stop in zip(places, places[1:], strict=False)]
+    """Return `data` split at the positions of `cuts`."""
+    positions = sorted({cut % (len(data) + 1) for cut in cuts} | {0, len(data)})
+    return [
+        data[start:stop] for start, stop in zip(positions, positions[1:], strict=False)
+    ]
 
 
-@unhurried
+@without_deadline
 @given(st.lists(frames, max_size=6), st.lists(st.integers(0, 10_000), max_size=8))
 def test_frames_survive_any_chunking(sent, cuts):
-    """Frames come out as they went in, however the bytes are cut up on the way."""
+    """Frames are decoded unchanged however the bytes are split in transit."""
     decoder = FrameDecoder(Frame, FRAME_LIMIT_BYTES)
     received = []
     for piece in pieces_of(b"".join(map(encode_frame, sent)), cuts):
@@ -40,22 +42,22 @@
     assert received == sent
 
 
-@unhurried
+@without_deadline
 @given(
     st.lists(frames, min_size=1, max_size=3),
     st.integers(0, 10_000),
     st.integers(1, 255),
     st.lists(st.integers(0, 10_000), max_size=3),
 )
-def test_damaged_bytes_raise_only_protocol_errors(sent, place, change, cuts):
-    """A damaged byte gives frames or a `ProtocolError`, and nothing else.
+def test_damaged_bytes_raise_only_protocol_errors(sent, position, change, cuts):
+    """A damaged byte results in frames or a `ProtocolError`, and nothing else.
 
-    Symptom: a link's task dies of an unforeseen error.  Sequence: a peer of another
-    version, or no peer of ours at all, sends bytes that are no frames.  Cause: the
-    generated readers raise many unrelated types.
+    A peer of another version, or a foreign client, sends bytes that are not frames.
+    The generated readers raise many unrelated exceptions, which would end the task of
+    the link.
     """
     data = bytearray(b"".join(map(encode_frame, sent)))
-    data[place % len(data)] ^= change
+    data[position % len(data)] ^= change
     decoder = FrameDecoder(Frame, FRAME_LIMIT_BYTES)
     with contextlib.suppress(ProtocolError):
         for piece in pieces_of(bytes(data), cuts):
@@ -63,27 +65,27 @@
                 assert isinstance(frame, Frame)
 
 
-@unhurried
+@without_deadline
 @given(st.binary(max_size=300))
 def test_garbage_raises_only_protocol_errors(data):
-    """Arbitrary bytes give frames or a `ProtocolError`, and nothing else."""
+    """Arbitrary bytes result in frames or a `ProtocolError`, and nothing else."""
     with contextlib.suppress(ProtocolError):
         FrameDecoder(Frame, FRAME_LIMIT_BYTES).feed(data)
 
 
 def test_length_over_the_limit_is_refused_before_it_is_stored():
-    """A frame longer than the limit is refused on sight of its length."""
+    """A frame over the limit is refused as soon as its length is read."""
     decoder = FrameDecoder(Frame, FRAME_LIMIT_BYTES)
     with pytest.raises(ProtocolError):
         decoder.feed(struct.pack(">I", FRAME_LIMIT_BYTES + 1))
 
 
 def test_claimed_list_is_not_allocated():
-    """A list that claims more items than its frame can hold is refused.
+    """A list that declares more items than its frame can hold is refused.
 
-    Symptom: the process is killed for its memory.  Sequence: a peer that need not be
-    authenticated sends a header list of two thousand million items in twenty bytes.
-    Cause: the reader allocates the list before it reads the items.
+    A possibly unauthenticated peer declares a header list of 2e9 items in twenty bytes.
+    The reader allocates the list before it reads the items, and the process would be
+    killed for its memory use.
     """
     whole = encode_frame(Frame(head=ResponseHead(5, 200, [Header("a", "b")])))
     list_start = whole.index(b"\x1c")
@@ -93,7 +95,7 @@
 
 
 def test_frame_whose_length_is_wrong_is_refused():
-    """A frame may not end before or behind the place that its length states."""
+    """A frame whose end differs from its length is refused."""
     whole = encode_frame(Frame(part=ResponsePart(1, 0, b"abc")))
     longer = struct.pack(">I", len(whole) - 4 + 1) + whole[4:] + b"\x00"
     shorter = struct.pack(">I", len(whole) - 4 - 1) + whole[4:]
@@ -103,7 +105,7 @@
 
 
 def test_frame_of_an_unknown_kind_has_no_message():
-    """A kind of frame that a newer version added is read as a frame without message."""
+    """A frame of a kind added by a newer version is decoded without a message."""
     struct_field_100 = b"\x0c\xc8\x01"
     body = struct_field_100 + STRUCT_STOP + STRUCT_STOP
     decoder = FrameDecoder(Frame, FRAME_LIMIT_BYTES)
--- a/siskinthread/wire/tests/test_golden_session.py
+++ b/siskinthread/wire/tests/test_golden_session.py
@@ -1,8 +1,8 @@
-"""Golden file of a whole session as it stands on the wire.
+"""Golden file of the encoded frames of a whole session.
 
-``python -m siskinthread.wire.tests.test_golden_session`` writes the file anew.  Do so
-only together with a new `PROTOCOL_VERSION`: the file changes when processes of the old
-and the new version can't read each other any more.
+``python -m siskinthread.wire.tests.test_golden_session`` rewrites the file.  Do so only
+together with a new `PROTOCOL_VERSION`: a changed file means that processes of the old
+and the new version can't read each other's frames.
 """
 
 import pathlib
@@ -32,11 +32,11 @@
 
 
 def session_frames():
-    """Return the frames of a fixed session, in the order of their writing.
+    """Return the frames of a fixed session in the order in which they are sent.
 
-    An entry and an agent shake hands; a request of a key is started, its connection is
-    lost after the first part, it is resumed and ends; a second one is cancelled; the
-    agent leaves.
+    An entry and an agent complete the handshake.  A request with an idempotency key
+    starts, loses its connection after the first part, is resumed and ends.  A second
+    request is cancelled.  The agent leaves.
     """
     return [
         Frame(hello=_hello("entry-1", "e-1", "trondheim-a", "entry", b"n" * 16, [])),
@@ -91,17 +91,17 @@
 
 
 def golden_text():
-    """Return the text of the golden file: one frame a line, in hexadecimal."""
+    """Return the text of the golden file, one frame per line in hexadecimal."""
     return "".join(encode_frame(frame).hex() + "\n" for frame in session_frames())
 
 
 def test_session_is_written_as_in_the_golden_file():
-    """The bytes of every frame are those that released versions write."""
+    """Every frame is encoded to the bytes that released versions send."""
     assert golden_text() == GOLDEN_PATH.read_text()
 
 
 def test_golden_file_is_read_as_the_session():
-    """The frames that released versions write are read unchanged."""
+    """The frames that released versions send are decoded unchanged."""
     decoder = FrameDecoder(Frame, FRAME_LIMIT_BYTES)
     data = b"".join(bytes.fromhex(line) for line in GOLDEN_PATH.read_text().split())
     assert decoder.feed(data) == session_frames()
--- a/siskinthread/wire/tests/test_handshake.py
+++ b/siskinthread/wire/tests/test_handshake.py
@@ -24,7 +24,7 @@
 
 
 def settings_with(*keys, handshake_wait_s=5.0):
-    """Return settings with the keys."""
+    """Return settings with the given keys."""
     return PeerSettings(keys=list(keys), handshake_wait_s=handshake_wait_s)
 
 
@@ -41,8 +41,8 @@
     return dialling, listening
 
 
-def shake(dialler_settings, listener_settings):
-    """Let both sides shake hands; returns the result or error of each."""
+def run_handshake(dialler_settings, listener_settings):
+    """Run the handshake on both sides and return the result or error of each."""
 
     async def main():
         dialling, listening = await connected_sockets()
@@ -58,7 +58,7 @@
 
 
 async def outcome_of_side(channel, identity, settings, dialled):
-    """Return the peer's hello, or the error; an error closes the connection."""
+    """Return the peer's hello or the error; an error shuts the connection down."""
     try:
         hello, _ = await shake_hands(channel, identity, settings, dialled)
     except (ConnectionLostError, ProtocolError) as error:
@@ -67,18 +67,18 @@
     return hello
 
 
-def shake_with(peer, handshake_wait_s=5.0):
-    """Let an entry shake hands with a scripted peer.
+def handshake_with(peer, handshake_wait_s=5.0):
+    """Run the handshake of an entry with a scripted peer.
 
     Parameters
     ----------
     peer : callable
-        ``async peer(socket)`` plays the other side.
+        ``async peer(socket)`` acts as the other side and returns the bytes it received.
 
     Returns
     -------
     tuple
-        The entry's result or error, and all frames that the entry ever wrote.
+        The entry's result or error, and all frames that the entry sent.
     """
 
     async def main():
@@ -99,8 +99,10 @@
 
 
 def test_peers_with_a_common_key_know_each_other():
-    """Both sides learn the other's host, role and services."""
-    agent_hello, entry_hello = shake(settings_with(NEW_KEY), settings_with(NEW_KEY))
+    """Each side receives the other's host, role and services."""
+    agent_hello, entry_hello = run_handshake(
+        settings_with(NEW_KEY), settings_with(NEW_KEY)
+    )
     assert (agent_hello.host, agent_hello.role) == ("agent-1", "agent")
     assert agent_hello.services == ["triage-llm"]
     assert (entry_hello.host, entry_hello.role) == ("entry-1", "entry")
@@ -115,15 +117,15 @@
     ],
 )
 def test_two_keys_are_valid_while_they_rotate(dialler_keys, listener_keys):
-    """Every key of a list is accepted, whichever signs."""
-    results = shake(settings_with(*dialler_keys), settings_with(*listener_keys))
+    """Every key of a list is accepted, whichever key signs."""
+    results = run_handshake(settings_with(*dialler_keys), settings_with(*listener_keys))
     assert [result.host for result in results] == ["agent-1", "entry-1"]
 
 
 def test_wrong_key_is_refused_by_both_sides():
-    """Peers without a common key refuse each other, under the same key id too."""
+    """Peers without a common key refuse each other, even with the same key id."""
     forged = Key(NEW_KEY.id, "a guess")
-    errors = shake(settings_with(NEW_KEY), settings_with(forged))
+    errors = run_handshake(settings_with(NEW_KEY), settings_with(forged))
     assert any(isinstance(error, HandshakeError) for error in errors)
     assert not any(hasattr(error, "host") for error in errors)
 
@@ -131,9 +133,9 @@
 def test_mirrored_proof_is_refused():
     """A peer that sends an entry's own hello and proof back is refused.
 
-    Symptom: a stranger is taken for an agent.  Sequence: it echoes whatever the entry
-    sends, so that hello, nonce and proof all fit each other.  Cause: a proof that does
-    not say which side signed it can be given back to its maker.
+    An unauthenticated peer echoes all bytes of the entry, so that hello, nonce and
+    proof are consistent.  If a proof didn't state which side signed it, the peer would
+    be accepted as an agent.
     """
 
     async def mirror(socket):
@@ -144,13 +146,13 @@
             await socket.sendall(data)
         return written
 
-    outcome, frames = shake_with(mirror)
+    outcome, frames = handshake_with(mirror)
     assert isinstance(outcome, HandshakeError)
     assert_nothing_but_handshake(frames)
 
 
 def test_wrong_version_is_refused():
-    """A peer of an unknown protocol version is refused before a proof is sent."""
+    """A peer with an unknown protocol version is refused before a proof is sent."""
 
     async def newer(socket):
         written = await socket.recv(65536)
@@ -159,19 +161,19 @@
         await channel_over(socket).send(Frame(hello=hello))
         return written
 
-    outcome, frames = shake_with(newer)
+    outcome, frames = handshake_with(newer)
     assert isinstance(outcome, HandshakeError)
     assert "99" in str(outcome)
     assert [frame.hello is not None for frame in frames] == [True]
 
 
 def test_peer_that_says_nothing_is_given_up():
-    """A peer that accepts and stays silent is given up after the handshake wait."""
+    """A peer that accepts and sends nothing is dropped after the handshake timeout."""
 
     async def silent(socket):
         return await socket.recv(65536)
 
-    outcome, frames = shake_with(silent, handshake_wait_s=0.02)
+    outcome, frames = handshake_with(silent, handshake_wait_s=0.02)
     assert isinstance(outcome, ConnectionLostError)
     assert_nothing_but_handshake(frames)
 
@@ -186,21 +188,21 @@
     ],
 )
 def test_garbage_is_refused(garbage):
-    """Bytes that are no hello end the handshake with a protocol error."""
+    """Bytes that are not a hello end the handshake with a protocol error."""
 
     async def garbler(socket):
         written = await socket.recv(65536)
         await socket.sendall(garbage)
         return written
 
-    outcome, frames = shake_with(garbler)
+    outcome, frames = handshake_with(garbler)
     assert isinstance(outcome, ProtocolError)
     assert_nothing_but_handshake(frames)
 
 
 @pytest.mark.parametrize("proof", [Proof(), Proof("new", b""), Proof("new", b"x" * 32)])
 def test_forged_proof_is_refused(proof):
-    """A proof without, or with another, digest is refused."""
+    """A proof without a digest or with a wrong digest is refused."""
 
     async def forger(socket):
         written = await socket.recv(65536)
@@ -208,12 +210,12 @@
         await channel_over(socket).send(*frames)
         return written
 
-    outcome, frames = shake_with(forger)
+    outcome, frames = handshake_with(forger)
     assert isinstance(outcome, HandshakeError)
     assert_nothing_but_handshake(frames)
 
 
 def assert_nothing_but_handshake(frames):
-    """Check that an unknown peer got no frame beyond hello and proof."""
+    """Check that an unknown peer received no frame other than hello and proof."""
     assert len(frames) <= 2
     assert all(frame.hello or frame.proof for frame in frames)
