--- a/siskinthread/source_eras/__init__.py
+++ b/siskinthread/source_eras/__init__.py
@@ -1,8 +1,8 @@
-"""Eras of a source of records, which may come back older than it was.
+"""Eras of a source of records that may be restored from an older copy.
 
-A source that is restored from a copy has lost what it acknowledged last, and gives the
-positions of the lost records out again.  Each restore begins an era; `EraWatch` knows
-the newest one, and a `Position` means something in its own era only.
+A source that is restored from a copy has lost the records that it acknowledged last,
+and assigns their positions to new records.  Each restore begins an era.  `EraWatch`
+tracks the newest era; a `Position` is valid only within its own era.
 """
 
 from siskinthread.source_eras._position import Position
--- a/siskinthread/source_eras/_position.py
+++ b/siskinthread/source_eras/_position.py
@@ -2,14 +2,15 @@
 
 
 class Position:
-    """Up to where records of a source have been read.
+    """Position up to which the records of a source have been read.
 
     Parameters
     ----------
     era : int or None
-        Era of the source in which it was read; None if the source tells none.
+        Era of the source in which the records were read; None if the source reports
+        none.
     offset : int
-        The next record, counted from the first one.
+        Offset of the next record to read, counted from the first record.
     """
 
     __slots__ = ("era", "offset")
@@ -19,9 +20,10 @@
         self.offset = offset
 
     def is_behind(self, other):
-        """Return whether another position has more records, of the same or a later era.
+        """Return whether another position is further, in the same or a later era.
 
-        One of an unknown era says nothing beside one of a known era.
+        A position of an unknown era can't be compared with one of a known era; the
+        result is then False.
         """
         if self.era == other.era:
             return self.offset < other.offset
--- a/siskinthread/source_eras/_watch.py
+++ b/siskinthread/source_eras/_watch.py
@@ -1,4 +1,4 @@
-"""The newest era of a source that this process has heard of."""
+"""Tracks the newest known era of a source."""
 
 from siskinthread.observability import part_logger
 
@@ -6,48 +6,48 @@
 
 
 class EraWatch:
-    """Knows the newest era of a source, whoever told of it.
+    """Tracks the newest era of a source by all reports of it.
 
     Parameters
     ----------
     metrics : siskinthread.observability.Metrics
-        The registry.
+        Metrics of this process.
 
     Attributes
     ----------
     newest : int or None
-        The newest era that was told; None if none ever was.
+        The newest reported era; None before the first report.
 
     Notes
     -----
-    Symptom without this: a target that leaves still gets requests seconds after its
-    leaving was acknowledged.  The source lost some records, and the ones that were
-    written then got the positions of the lost ones, which this process had read past.
+    Without eras, a leaving target could receive requests seconds after its leaving was
+    acknowledged: the source lost some records, and the records written afterwards got
+    the positions of the lost ones, which this process had already read.
     """
 
-    __slots__ = ("_gauge", "_is_unreadable", "_listeners", "newest")
+    __slots__ = ("_gauge", "_has_unreadable_era", "_listeners", "newest")
 
     def __init__(self, metrics):
         self.newest = None
-        self._is_unreadable = False
+        self._has_unreadable_era = False
         self._listeners = []
         self._gauge = metrics.gauge(
             "source_era", "Newest era of the source of configuration and targets."
         )
 
     def listen(self, callback):
-        """Call a coroutine function whenever a later era begins."""
+        """Register a coroutine function to call whenever a later era begins."""
         self._listeners.append(callback)
 
     async def note(self, era, told_by):
-        """Take an era that somebody told.
+        """Record a reported era, and call the listeners if it is a later one.
 
         Parameters
         ----------
         era : int or None
-            The era; None is no word of any.
+            The era; None if the reporter knows none.
         told_by : str
-            Who, for the log.
+            The reporter, for the log.
         """
         if era is None or (self.newest is not None and era <= self.newest):
             return
@@ -60,25 +60,25 @@
             await callback()
 
     def note_unreadable(self):
-        """Note that the source reports an era that can't be read."""
-        self._is_unreadable = True
+        """Record that the source reported an invalid era."""
+        self._has_unreadable_era = True
 
     def is_comparable(self, era):
-        """Return whether positions of an era may be compared with those of peers.
+        """Return whether positions of an era are comparable with positions of peers.
 
         Parameters
         ----------
         era : int or None
-            Era of this process's own position.
+            Era of this process's position.
 
         Returns
         -------
         bool
-            False if the era is over.  Without an era it is True only if none was ever
-            reported: a source that can come back older reports one.
+            False if the era is over.  For None, True only if no era was ever reported,
+            because a source that can be restored from an older copy reports its era.
         """
         if era is None:
-            return self.newest is None and not self._is_unreadable
+            return self.newest is None and not self._has_unreadable_era
         return not self.is_over(era)
 
     def is_over(self, era):
--- a/siskinthread/source_eras/tests/test_eras.py
+++ b/siskinthread/source_eras/tests/test_eras.py
@@ -1,4 +1,4 @@
-"""Eras and the positions in them."""
+"""Tests of eras and of positions within them."""
 
 import curio
 import pytest
@@ -22,12 +22,12 @@
 def test_position_is_behind_one_with_more_records_or_of_a_later_era(
     one, other, expected
 ):
-    """An offset of before a restore says nothing beside one of after it."""
+    """Offsets from before and after a restore are not compared with each other."""
     assert Position(*one).is_behind(Position(*other)) is expected
 
 
 def test_only_a_later_era_than_one_that_was_told_begins_an_era():
-    """A late answer, and one that tells no era, change nothing."""
+    """A late answer and an answer without an era change nothing."""
     begun = []
 
     async def note_begun():
