--- a/siskinthread/observability/__init__.py
+++ b/siskinthread/observability/__init__.py
@@ -2,8 +2,8 @@
 
 Interface: ``LoggingSettings``; ``set_up_logging(settings)`` returns a ``LogOutput`` to
 close at the end of the process; ``part_logger("links")`` returns a
-`logging.LoggerAdapter` that puts the fixed prefix ``links:`` before each message;
-``Metrics`` owns a `prometheus_client.CollectorRegistry` and hands out counters, gauges
+`logging.LoggerAdapter` that adds the fixed prefix ``links:`` to each message;
+``Metrics`` owns a `prometheus_client.CollectorRegistry` and creates counters, gauges
 and histograms by name: ``metrics.counter(name, text, labels=())``, ``gauge``,
 ``histogram``; ``metrics.render()`` returns the exposition as bytes.
 """
--- a/siskinthread/observability/_logging.py
+++ b/siskinthread/observability/_logging.py
@@ -1,4 +1,4 @@
-"""Logging in one line an event."""
+"""Logging with one line per event."""
 
 import json
 import logging
@@ -17,7 +17,7 @@
 
 
 class PartLogger(logging.LoggerAdapter):
-    """A logger that puts the prefix of its part before each message.
+    """A logger that prefixes each message with the name of its part.
 
     Parameters
     ----------
@@ -33,14 +33,14 @@
         return f"{self._prefix}{msg}", kwargs
 
     def event(self, message, **fields):
-        """Log one decision with the values that it was made by.
+        """Log a decision with the values on which it was based.
 
         Parameters
         ----------
         message : str
-            What was decided; the same words each time.
+            Constant text that names the decision.
         **fields
-            Values that JSON can hold.
+            Values that can be serialised as JSON.
         """
         if self.isEnabledFor(logging.INFO):
             self.info("%s", message, extra={"event_fields": fields})
@@ -65,20 +65,20 @@
 
 
 def set_up_logging(settings, stream=None, structured=False):
-    """Write the messages of this process to its standard error output.
+    """Start writing the log messages of this process to standard error.
 
     Parameters
     ----------
     settings : LoggingSettings
     stream : file object or None
-        Where to write instead.
+        Stream to write to instead of standard error.
     structured : bool
-        Whether each line is a JSON object instead of a sentence.
+        Whether each line is a JSON object instead of text.
 
     Returns
     -------
     LogOutput
-        To be closed when the process ends.
+        Must be closed when the process ends.
     """
     return LogOutput(settings, sys.stderr if stream is None else stream, structured)
 
@@ -95,10 +95,10 @@
 
     Notes
     -----
-    A collector that stops reading blocks the next write to the stream.  Written from
-    the event loop, that would stop the heartbeats, and the peers would take this
-    process for dead although it only logs.  A thread of its own therefore writes, and
-    while it is blocked, messages above a fixed number are dropped and counted.
+    A log collector that stops reading blocks the next write to the stream.  In the
+    event loop, a blocked write would stop the heartbeats, and peers would consider this
+    process dead.  Therefore a separate thread writes; while it is blocked, messages
+    beyond a fixed number are dropped and counted.
     """
 
     __slots__ = ("_handler", "_writer")
@@ -121,13 +121,13 @@
         return self._handler.dropped
 
     def close(self):
-        """Write what is waiting and stop; a blocked stream is given up after 2 s."""
+        """Write the queued messages and stop; wait at most 2 s on a blocked stream."""
         logging.getLogger().removeHandler(self._handler)
         self._writer.stop()
 
 
 class _LineFormatter(logging.Formatter):
-    """Formatter for one line an event with the time in UTC."""
+    """Formatter for one line per event with the time in UTC."""
 
     def formatTime(self, record, datefmt=None):  # noqa: N802 - name of the base class
         time_utc = datetime.fromtimestamp(record.created, UTC)
@@ -148,7 +148,7 @@
 
 
 class _JsonFormatter(logging.Formatter):
-    """Formatter for one JSON object a line, for tools that follow a request's id."""
+    """Formatter for one JSON object per line, for tools that trace requests."""
 
     def format(self, record):
         line = {
@@ -163,19 +163,19 @@
 
 
 class _ForwardingHandler(logging.handlers.QueueHandler):
-    """Handler that never blocks the one who logs.
+    """Handler that never blocks the logging thread.
 
     Parameters
     ----------
     waiting : queue.Queue
-        Records that are not written yet.
+        Queue of the records that are not yet written.
     lines_limit_per_s : int
-        Most records taken in a second.
+        Most records accepted per second.
 
     Notes
     -----
-    Under overload each refused request logs a line.  Unbounded, that work would grow
-    with the very load that the process is short of time for.
+    Under overload, each refused request logs a line.  Without a limit, the time spent
+    on logging would grow with the load that already exceeds the processor time.
     """
 
     def __init__(self, waiting, lines_limit_per_s):
@@ -184,27 +184,30 @@
         self._lines_limit_per_s = lines_limit_per_s
         self._second = 0
         self._line_count = 0
-        self._left_out = 0
+        self._dropped_in_second = 0
 
     def handle(self, record):
-        """Take a record unless the present second has had its share."""
+        """Queue a record unless the limit of the current second is reached."""
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
             self._line_count = 0
-            left_out, self._left_out = self._left_out, 0
-            if left_out:
-                _logger.warning("%d lines were left out in a busy second", left_out)
+            dropped_count, self._dropped_in_second = self._dropped_in_second, 0
+            if dropped_count:
+                _logger.warning(
+                    "%d lines dropped: limit of lines per second exceeded",
+                    dropped_count,
+                )
         self._line_count += 1
         if self._line_count > self._lines_limit_per_s:
-            self._left_out += 1
+            self._dropped_in_second += 1
             self.dropped += 1
             return False
         return super().handle(record)
 
     def prepare(self, record):
-        # The arguments are merged here, since they may change until the thread writes.
-        # The base class would also merge the traceback into the message.
+        # Format the message here, because the arguments may change before the thread
+        # writes it.  The base class would also merge the traceback into the message.
         record.message = record.getMessage()
         record.msg = record.message
         record.args = None
@@ -218,7 +221,7 @@
 
 
 class _Writer(logging.handlers.QueueListener):
-    """The thread that writes."""
+    """The thread that writes records to the stream."""
 
     def stop(self):
         give_up_at_s = time.monotonic() + _CLOSE_WAIT_S
--- a/siskinthread/observability/_metrics.py
+++ b/siskinthread/observability/_metrics.py
@@ -8,16 +8,16 @@
 
 
 class Metrics:
-    """The metrics of one process, in a registry of their own.
+    """The metrics of one process, in a separate registry.
 
-    Names begin with ``siskinthread_`` and end with their unit; ``_total`` is added to
-    those of counters.  A name asked for again gives the same metric, so that several
-    objects of one class can count together.
+    Names begin with ``siskinthread_`` and end with their unit; ``_total`` is appended
+    to the names of counters.  Requesting a name again returns the same metric, so that
+    several objects of a class can share it.
 
     Notes
     -----
-    The registry is not the global one of `prometheus_client`, so that several daemons
-    can run in the process of a test.
+    The registry is not the global registry of `prometheus_client`, so that several
+    daemons can run in one test process.
     """
 
     __slots__ = ("_metrics", "registry")
@@ -33,9 +33,9 @@
         Parameters
         ----------
         name : str
-            Name without the common prefix, with its unit as suffix.
+            Name without the prefix, with the unit as suffix.
         text : str
-            What is counted.
+            Help text of the metric.
         labels : sequence of str
             Names of the labels.
 
@@ -46,7 +46,7 @@
         return self._metric(prometheus_client.Counter, name, text, labels)
 
     def gauge(self, name, text, labels=()):
-        """Return a gauge; for the parameters see `counter`.
+        """Return a gauge; see `counter` for the parameters.
 
         Returns
         -------
@@ -55,13 +55,13 @@
         return self._metric(prometheus_client.Gauge, name, text, labels)
 
     def histogram(self, name, text, labels=(), buckets=None):
-        """Return a histogram; for the other parameters see `counter`.
+        """Return a histogram; see `counter` for the other parameters.
 
         Parameters
         ----------
         buckets : sequence of float or None
-            Upper ends of the buckets in the unit of the name; None for those of
-            `prometheus_client`, which suit seconds.
+            Upper bounds of the buckets in the unit of the metric; None for the defaults
+            of `prometheus_client`, which suit seconds.
 
         Returns
         -------
@@ -89,5 +89,7 @@
             self._metrics[name] = (declaration, metric)
         known_declaration, metric = self._metrics[name]
         if known_declaration != declaration:
-            raise InvariantError(f"metric {name} is declared in two ways")
+            raise InvariantError(
+                f"metric {name} is declared with different types, labels or options"
+            )
         return metric
--- a/siskinthread/observability/_settings.py
+++ b/siskinthread/observability/_settings.py
@@ -4,17 +4,17 @@
 
 
 class LoggingSettings(Section):
-    """What a process logs to its standard error output."""
+    """Settings of the log that a process writes to standard error."""
 
     level = Item(
         Choice("debug", "info", "warning", "error"),
         default="info",
-        description="Least level of the messages that are logged.",
+        description="Lowest level of messages that are logged.",
     )
     lines_limit_per_s = Item(
         int,
         default=1000,
         minimum=1,
-        description="Most lines that are logged in a second; the number of those left "
-        "out is logged in their place.",
+        description="Most lines that are logged per second; further lines are dropped "
+        "and their number is logged.",
     )
--- a/siskinthread/observability/tests/test_logging.py
+++ b/siskinthread/observability/tests/test_logging.py
@@ -1,4 +1,4 @@
-"""Tests of logging: one line an event, and never a blocked event loop."""
+"""Tests of logging: one line per event, and no blocking of the event loop."""
 
 import io
 import logging
@@ -14,13 +14,13 @@
     set_up_logging,
 )
 
-# Only a blocked logger waits this long; it keeps a failing run from hanging.
+# Only a blocked logger waits this long; the limit keeps a failing test from hanging.
 HANG_GUARD_S = 10.0
 
 
 @pytest.fixture(autouse=True)
 def package_level():
-    """Restore the level that a test sets."""
+    """Restore the log level after a test."""
     logger = logging.getLogger("siskinthread")
     level = logger.level
     yield
@@ -36,7 +36,7 @@
 
 
 def test_event_is_one_line_with_time_level_and_prefix():
-    """A line has the UTC time with milliseconds, the level, the prefix, the text."""
+    """A line consists of the UTC time in milliseconds, level, prefix and text."""
     (line,) = lines_of("info", lambda: part_logger("links").info("Lost %s.", "a"))
     time, rest = line.split(" ", 1)
     assert re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z", time)
@@ -44,7 +44,7 @@
 
 
 def test_level_holds_back_lesser_messages():
-    """Messages under the level are not written."""
+    """Messages below the level are not written."""
 
     def log():
         part_logger("links").info("Not this.")
@@ -55,10 +55,10 @@
 
 
 def test_foreign_text_forges_no_event():
-    """Line ends of foreign text are escaped.
+    """Line breaks in text from outside are escaped.
 
-    Symptom: the log shows an event that never happened.  Sequence: a caller sends a
-    path with a line end, and it is logged.  Cause: the rest begins a line of its own.
+    Otherwise a caller that sends a path with a line break, which is logged, could forge
+    a log line of an event that never happened.
     """
     forged = "x\n2026-01-01T00:00:00.000Z INFO links: Fine.\r\u2028\x1b[2K"
     (line,) = lines_of("info", lambda: part_logger("callers").info("Bad %s", forged))
@@ -68,7 +68,7 @@
 
 
 def test_traceback_stays_on_the_line_of_its_event():
-    """An exception is written once, on the same line."""
+    """A traceback is written once, on the line of its event."""
 
     def log():
         try:
@@ -82,13 +82,13 @@
 
 
 def test_other_libraries_are_named():
-    """Messages of libraries have the name of their logger as prefix."""
+    """Messages of libraries are prefixed with the name of their logger."""
     (line,) = lines_of("info", lambda: logging.getLogger("curio").error("Crash"))
     assert line.endswith("ERROR curio: Crash")
 
 
 def test_arguments_are_taken_at_the_time_of_the_event():
-    """A change after the event does not reach the line."""
+    """A change of an argument after the event does not alter the line."""
     value = ["before"]
 
     def log():
@@ -105,7 +105,7 @@
 
 
 class BlockedStream(io.StringIO):
-    """A stream whose reader has stopped reading."""
+    """A stream whose reader has stopped."""
 
     def __init__(self):
         super().__init__()
@@ -119,11 +119,11 @@
 
 
 def test_blocked_stream_does_not_block_the_one_who_logs(monkeypatch):
-    """While the stream is blocked, messages wait and, past the limit, are dropped.
+    """While the stream is blocked, messages are queued and dropped beyond the limit.
 
-    Symptom: peers give up the links of a process that is alive.  Sequence: the log
-    collector stops reading, the pipe fills, the next message blocks the event loop, no
-    heartbeat is sent.  Cause: the event loop writes to the stream itself.
+    If the event loop wrote to the stream itself, a log collector that stops reading
+    would block it once the pipe is full: no heartbeat would be sent, and peers would
+    close the links of a live process.
     """
     monkeypatch.setattr(_logging, "_WAITING_LIMIT_RECORDS", 3)
     stream = BlockedStream()
--- a/siskinthread/observability/tests/test_metrics.py
+++ b/siskinthread/observability/tests/test_metrics.py
@@ -20,7 +20,7 @@
 
 
 def test_same_name_gives_the_same_metric():
-    """Two objects that ask for one name count together."""
+    """Two objects that request the same name share the metric."""
     metrics = Metrics()
     metrics.counter("requests", "Requests.").inc()
     metrics.counter("requests", "Requests.").inc()
@@ -28,7 +28,7 @@
 
 
 def test_one_name_declared_in_two_ways_is_refused():
-    """A name can't stand for two metrics."""
+    """A name can't be declared for two different metrics."""
     metrics = Metrics()
     metrics.counter("requests", "Requests.")
     with pytest.raises(InvariantError):
@@ -38,7 +38,7 @@
 
 
 def test_registries_are_apart():
-    """Daemons in the same process do not see each other's metrics."""
+    """Daemons in the same process have separate metrics."""
     one, other = Metrics(), Metrics()
     one.gauge("load", "Load.").set(1)
     other.gauge("load", "Load.").set(2)
