--- a/siskinthread/supervision/__init__.py
+++ b/siskinthread/supervision/__init__.py
@@ -1,4 +1,4 @@
-"""Keeps the long-lived tasks of a daemon running, and waits for a stop signal.
+"""Supervises the long-lived tasks of a daemon and waits for a stop signal.
 
 Interface: ``async run_until_stopped(tasks, drain, reload=None)``; ``async
 supervise(name, coroutine_function, *arguments)``; ``async wait_for_stop_signal()``.
--- a/siskinthread/supervision/_supervision.py
+++ b/siskinthread/supervision/_supervision.py
@@ -1,4 +1,4 @@
-"""Keeps the long-lived tasks of a daemon running, and waits for a stop signal."""
+"""Supervises the long-lived tasks of a daemon and waits for a stop signal."""
 
 import contextlib
 import signal
@@ -21,34 +21,34 @@
 
 
 async def supervise(name, coroutine_function, *arguments):
-    """Run a coroutine function, again and again if it dies of an error.
+    """Run a coroutine function and restart it after an error.
 
     Parameters
     ----------
     name : str
-        Name for the log.
+        Name of the task in the log.
     coroutine_function : callable
-        It is called anew for every run.
+        Called once for each run.
     *arguments
-        Its arguments.
+        Arguments of the coroutine function.
 
     Returns
     -------
     object
-        What the coroutine function returned; a run that returns is not repeated.
+        Result of the coroutine function; a run that returns is not repeated.
 
     Raises
     ------
     InvariantError
-        Passed on at once: the state can't be trusted any more.
+        Propagated at once, because the state of the process is no longer reliable.
 
     Notes
     -----
-    Any other error in one task, such as an answer of the platform that nobody foresaw,
-    would end that task silently and the process would go on without it: the
-    configuration would stop moving, or links would not be replaced.  It is logged with
-    its traceback and the task starts again after a wait that doubles, so that a lasting
-    fault costs little.
+    Without supervision, any other error in a task, such as an unexpected answer of the
+    platform, would end the task silently, and the process would continue without it:
+    the configuration would no longer be updated, or links would not be replaced.  The
+    error is logged with its traceback, and the task restarts with exponential back-off,
+    which bounds the cost of a permanent fault.
     """
     wait_s = FIRST_RESTART_WAIT_S
     while True:
@@ -56,10 +56,10 @@
         try:
             return await coroutine_function(*arguments)
         except InvariantError:
-            _logger.critical("Task %s broke an invariant.", name, exc_info=True)
+            _logger.critical("Task %s violated an invariant.", name, exc_info=True)
             raise
         except (Exception, curio.TaskTimeout):
-            _logger.exception("Task %s failed and starts again.", name)
+            _logger.exception("Task %s failed; restarting.", name)
         if await curio.clock() - started_at_s > SETTLED_AFTER_S:
             wait_s = FIRST_RESTART_WAIT_S
         await curio.sleep(wait_s)
@@ -72,18 +72,19 @@
     Parameters
     ----------
     reload : callable or None
-        Called at each SIGHUP, which otherwise keeps its default action.
+        Called at each SIGHUP; None keeps the default action of SIGHUP.
 
     Returns
     -------
     signal.Signals
+        The stop signal received.
 
     Notes
     -----
-    Call it in the main thread.  While it waits, the interpreter writes each signal's
-    number to a socket that the event loop watches.  A Python handler that set an event
-    instead could run while the loop itself holds that event's lock, and the process
-    would hang at its stop.
+    Must be called in the main thread.  While it waits, the interpreter writes the
+    number of each signal to a socket that the event loop reads.  A Python signal
+    handler that sets an event could run while the loop holds the lock of that event,
+    and the process would hang when it is stopped.
     """
     reading, writing = socket.socketpair()
     writing.setblocking(False)
@@ -93,7 +94,7 @@
         cleanup.callback(signal.set_wakeup_fd, previous_descriptor)
         reload_signals = () if reload is None else (RELOAD_SIGNAL,)
         for number in (*STOP_SIGNALS, *reload_signals):
-            previous_handler = signal.signal(number, _leave_to_the_socket)
+            previous_handler = signal.signal(number, _ignore_signal)
             cleanup.callback(signal.signal, number, previous_handler)
         async with io.Socket(reading) as wakeup:
             return await _first_stop_signal(wakeup, reload)
@@ -108,26 +109,26 @@
                 return signal.Signals(number)
 
 
-def _leave_to_the_socket(number, frame):
-    """Replace the default action, which would end the process."""
+def _ignore_signal(number, frame):
+    """Do nothing; replaces the default action, which would end the process."""
 
 
 async def run_until_stopped(tasks, drain, reload=None):
-    """Supervise tasks until a stop signal, then drain and cancel them.
+    """Supervise tasks until a stop signal, then drain and cancel the tasks.
 
     Parameters
     ----------
     tasks : dict of str to callable
         Coroutine functions without arguments, by name.
     drain : callable
-        Coroutine function that is called after the signal while the tasks still run.
+        Coroutine function, called after the signal while the tasks still run.
     reload : callable or None
-        Called at each SIGHUP.
+        Called at each SIGHUP; None keeps the default action of SIGHUP.
 
     Raises
     ------
     InvariantError
-        If a task broke an invariant.
+        If a task violated an invariant.
     """
     async with curio.TaskGroup(wait=object) as group:
         await group.spawn(_drain_after_signal, drain, reload)
@@ -139,12 +140,12 @@
 
 async def _drain_after_signal(drain, reload):
     stop_signal = await wait_for_stop_signal(reload)
-    _logger.info("Got %s and drains.", stop_signal.name)
+    _logger.info("Received %s; draining.", stop_signal.name)
     await drain()
     _logger.info("Drained.")
     return stop_signal
 
 
 async def _supervise_to_end(name, coroutine_function):
-    # The group ends at the first result other than None, which is the stop signal.
+    # Return None: the group ends at the first other result, which is the stop signal.
     await supervise(name, coroutine_function)
--- a/siskinthread/supervision/tests/test_supervision.py
+++ b/siskinthread/supervision/tests/test_supervision.py
@@ -1,4 +1,4 @@
-"""Tests of supervision and of stopping."""
+"""Tests of the supervision and the stop of a daemon."""
 
 import os
 import signal
@@ -17,17 +17,16 @@
 
 @pytest.fixture(autouse=True)
 def no_restart_wait(monkeypatch):
-    """Restart at once."""
+    """Restart failed tasks without a wait."""
     monkeypatch.setattr(_supervision, "FIRST_RESTART_WAIT_S", 0.0)
 
 
 @pytest.mark.parametrize("error", [ValueError("odd"), curio.TaskTimeout(1.0)], ids=repr)
 def test_task_that_died_of_an_error_runs_again(error):
-    """One task's error does not end it for good.
+    """An error in a task does not end the task permanently.
 
-    Symptom: an entry serves on an old configuration for hours.  Sequence: the log
-    answers something nobody foresaw, the task that follows it raises.  Cause: nobody
-    starts it again.
+    If the task that follows the log raised on an unexpected answer and were not
+    restarted, an entry would serve an old configuration for hours.
     """
     errors = [error, error]
 
@@ -40,7 +39,7 @@
 
 
 def test_broken_invariant_stops_the_process():
-    """A broken invariant ends every task and is raised."""
+    """A violated invariant ends every task and is raised."""
     ended = []
 
     async def run_for_ever():
@@ -63,7 +62,7 @@
 
 @pytest.mark.parametrize("number", _supervision.STOP_SIGNALS)
 def test_stop_signal_drains_before_the_tasks_end(number):
-    """Tasks still run while the drain waits for what is in flight."""
+    """Tasks still run while the drain waits for requests in flight."""
     events = []
 
     async def run_for_ever():
@@ -81,7 +80,7 @@
 
 
 def test_signal_handling_is_restored():
-    """After the wait, signals do again what they did before."""
+    """After the wait, the previous signal handlers are restored."""
     before = [signal.getsignal(number) for number in _supervision.STOP_SIGNALS]
 
     async def main():
