--- a/siskinthread/sockets/__init__.py
+++ b/siskinthread/sockets/__init__.py
@@ -1,7 +1,7 @@
-"""Ends of connections that every part which speaks to another process needs.
+"""Opening and resetting of TCP connections, for all parts that use sockets.
 
-Interface: ``await connect(sock, address, wait_s)`` connects within a time; ``await
-reset(sock)`` ends a connection whose exchange was given up.
+Interface: ``await connect(sock, address, wait_s)`` connects with a timeout; ``await
+reset(sock)`` resets a connection whose exchange was abandoned.
 """
 
 from siskinthread.sockets._connect import connect
--- a/siskinthread/sockets/_connect.py
+++ b/siskinthread/sockets/_connect.py
@@ -1,10 +1,10 @@
-"""Connecting within a time, which the delays of this process don't use up."""
+"""Connecting with a timeout that tolerates delays of this process."""
 
 import curio
 
 
 async def connect(sock, address, wait_s):
-    """Connect a socket.
+    """Connect a socket with a timeout.
 
     Parameters
     ----------
@@ -13,19 +13,20 @@
     address : tuple of str, int
         IP address and port.
     wait_s : float
-        Longest wait for the other end to accept, seconds.
+        Longest wait for the connection, seconds.
 
     Raises
     ------
     curio.TaskTimeout
-        If the other end did not accept in time.
+        If the connection was not established in time.
     OSError
-        If it refused.
+        If the connection was refused or failed.
 
     Notes
     -----
-    The kernel finishes the handshake while this process is busy or stopped.  A timeout
-    that is seen late says nothing about the other end, so the socket decides.
+    The kernel completes the TCP handshake while this process is busy or stopped, so
+    that a timeout noticed late does not show that the peer failed.  Therefore, after a
+    timeout, the state of the socket decides.
     """
     try:
         await curio.timeout_after(wait_s, sock.connect, address)
--- a/siskinthread/sockets/_reset.py
+++ b/siskinthread/sockets/_reset.py
@@ -1,4 +1,4 @@
-"""Ending a connection so that what it still holds is not delivered."""
+"""Closing a connection so that its unsent data is discarded."""
 
 import socket
 import struct
@@ -7,12 +7,12 @@
 
 _logger = part_logger("sockets")
 
-# Linger for no time: closing sends a reset and drops what is not acknowledged.
+# SO_LINGER with a time of 0: closing sends a reset and discards unacknowledged data.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 async def reset(sock):
-    """Close a connection whose exchange was given up.
+    """Reset a connection whose exchange was abandoned.
 
     Parameters
     ----------
@@ -21,9 +21,9 @@
 
     Notes
     -----
-    After an ordinary close the kernel goes on sending what it holds.  Over a path that
-    was cut, a request then reached its target 5 s after another one had answered it,
-    and 8.7 s after the target had said that it leaves.
+    After an ordinary close, the kernel continues to send buffered data.  When a network
+    path was cut, a request could thus reach its target 5 s after another target had
+    answered the request, and 8.7 s after the first target had reported that it leaves.
     """
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
--- a/siskinthread/sockets/tests/test_connect.py
+++ b/siskinthread/sockets/tests/test_connect.py
@@ -1,4 +1,4 @@
-"""Connecting within a time."""
+"""Tests of connecting with a timeout."""
 
 import socket
 import time
@@ -14,13 +14,13 @@
 
 @pytest.fixture
 def listener():
-    """Return a socket that listens on loopback, with room for one connection."""
+    """Return a listening socket on loopback with a backlog for one connection."""
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listening:
         yield listening
 
 
 async def connected_s(address, wait_s):
-    """Connect and return how long it took, seconds."""
+    """Connect and return the time taken, seconds."""
     began_s = time.monotonic()
     async with curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
         await connect(sock, address, wait_s)
@@ -28,11 +28,11 @@
 
 
 def test_connection_made_while_this_process_was_delayed_counts(listener):
-    """Guards against targets that are passed over for a delay of the host itself."""
+    """Guards against avoiding a target because the host itself was delayed."""
 
     class SlowToWake(curio.io.Socket):
         async def connect(self, address):
-            """Connect, and wake up after the timeout."""
+            """Connect and resume after the timeout."""
             await super().connect(address)
             time.sleep(DELAY_S)
             await curio.sleep(DELAY_S)
@@ -47,12 +47,12 @@
 
 
 def test_end_that_accepts_nothing_is_given_up_in_time(listener):
-    """Guards against waiting for the next opening packet, which is sent after 1 s."""
+    """Guards against waiting for the retransmitted SYN, which is sent after 1 s."""
 
     async def main():
         address = listener.getsockname()
         held = []
-        # Until the queue of the listener drops opening packets.
+        # Connect until the full backlog of the listener drops SYN packets.
         while True:
             sock = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             held.append(sock)
@@ -63,7 +63,7 @@
                 return time.monotonic() - began_s
             finally:
                 if len(held) > 16:
-                    raise AssertionError("the queue has no end")
+                    raise AssertionError("the backlog never fills")
 
     assert curio.run(main) >= WAIT_S
 
--- a/siskinthread/sockets/tests/test_reset.py
+++ b/siskinthread/sockets/tests/test_reset.py
@@ -1,4 +1,4 @@
-"""What the other side sees of a connection that was given up."""
+"""Tests of resets as seen by the other side."""
 
 import curio
 import pytest
@@ -16,7 +16,7 @@
 
 
 def test_other_side_sees_a_reset_instead_of_an_end():
-    """An ordinary end would let the kernel deliver what it still holds."""
+    """After an ordinary close, the kernel would still deliver buffered data."""
 
     async def main():
         client, server = await connected()
@@ -29,7 +29,7 @@
 
 
 def test_connection_that_the_other_side_has_reset_can_be_reset():
-    """What both sides give up at once raises nothing."""
+    """A connection that both sides reset at the same time raises no error."""
 
     async def main():
         client, server = await connected()
