--- a/siskinthread/tracing/_trace.py
+++ b/siskinthread/tracing/_trace.py
@@ -1,25 +1,25 @@
-"""Finds a request in structured log lines, and what was logged around it."""
+"""Finds a request in structured log lines, with the lines related to it."""
 
 import json
 
 REQUEST_ENDED = "gateway: request ended"
-# Decisions this long before a request may explain it: longer than a target or a group
-# is passed over, and than a change of an expert map takes.
+# Decisions up to this long before a request may explain its outcome.  The time exceeds
+# that for which a target or a group is passed over, and that of an expert map change.
 BEFORE_S = 6.0
 AFTER_S = 0.5
-# Fields whose values connect a line with a request's attempts.
-CONNECTING_FIELDS = ("target", "group", "peer", "dependency")
+# Fields whose values relate a line to the attempts of a request.
+RELATING_FIELDS = ("target", "group", "peer", "dependency")
 
 
 class Trace:
-    """What the log tells of one request.
+    """The log lines on one request.
 
     Parameters
     ----------
     request : dict
-        Its own line.
+        The line that ends the request.
     around : list of dict
-        Lines on its targets, their groups and the process, oldest first.
+        Lines on its targets, their groups and the process, in the order of the log.
     """
 
     __slots__ = ("around", "request")
@@ -29,12 +29,12 @@
         self.around = around
 
     def as_json(self):
-        """Return both as one JSON text."""
+        """Return the request and the related lines as JSON text."""
         document = {"request": self.request, "around": self.around}
         return json.dumps(document, indent=2)
 
     def render(self):
-        """Return both as lines for people."""
+        """Return the request and the related lines as text for readers."""
         request = self.request
         lines = [
             f"request {request['id']}: {request['outcome']}, {request['reason']}",
@@ -55,8 +55,8 @@
                 f"{request['longest_pause_s']} s"
             )
         lines += [_attempt_line(attempt) for attempt in request["attempts"]]
-        begun_at = request["at"] - request["took_s"]
-        lines += [_around_line(one, begun_at) for one in self.around]
+        started_at = request["at"] - request["took_s"]
+        lines += [_around_line(event, started_at) for event in self.around]
         return "\n".join(lines)
 
 
@@ -66,9 +66,9 @@
     Parameters
     ----------
     lines : iterable of str
-        Log lines of one process; those that are no JSON are passed over.
+        Log lines of one process; lines that are not JSON objects are skipped.
     request_id : str
-        The caller's id of the request.
+        Id that the caller gave to the request.
     """
     events = [event for event in map(_read, lines) if event is not None]
     request = None
@@ -93,7 +93,7 @@
     for attempt in request["attempts"]:
         names |= {attempt["target"], attempt.get("group")}
     names.discard(None)
-    begun_at = request["at"] - request["took_s"]
+    started_at = request["at"] - request["took_s"]
     ended_at = request["at"] + AFTER_S
     fingerprint = request.get("fingerprint")
     return [
@@ -102,28 +102,29 @@
         if event.get("event") != REQUEST_ENDED
         and event["at"] <= ended_at
         and (
-            _is_connected(event, names, fingerprint, begun_at)
+            _is_related(event, names, fingerprint, started_at)
             or _limits_service(event, request.get("service"))
         )
     ]
 
 
 def _limits_service(event, service):
-    """Return whether a line tells of a limit of the request's service.
+    """Return whether a line is about a limit of the request's service.
 
-    A limit that was named long before may have refused a request that has no target.
+    A limit that was reported long before may be the reason that a request without a
+    target was refused.
     """
     return service is not None and event.get("limited_service") == service
 
 
-def _is_connected(event, names, fingerprint, begun_at):
-    """Return whether a line tells of a request, its targets or the process itself."""
+def _is_related(event, names, fingerprint, started_at):
+    """Return whether a line is about the request, its targets or the process."""
     if "fingerprint" in event:
-        # What earlier tries of a request did may have been decided on long before.
+        # Earlier tries of the request may have taken place long before.
         return event["fingerprint"] == fingerprint
-    if event["at"] < begun_at - BEFORE_S:
+    if event["at"] < started_at - BEFORE_S:
         return False
-    stated = [event[name] for name in CONNECTING_FIELDS if name in event]
+    stated = [event[name] for name in RELATING_FIELDS if name in event]
     if "target" in event or "group" in event:
         return any(value in names for value in stated)
     return True
@@ -150,10 +151,10 @@
     return text
 
 
-def _around_line(event, begun_at):
+def _around_line(event, started_at):
     fields = " ".join(
         f"{name}={value}"
         for name, value in event.items()
         if name not in ("at", "level", "event")
     )
-    return f"  {event['at'] - begun_at:+8.3f} s {event['event']} {fields}".rstrip()
+    return f"  {event['at'] - started_at:+8.3f} s {event['event']} {fields}".rstrip()
--- a/siskinthread/tracing/tests/test_trace.py
+++ b/siskinthread/tracing/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""A request and what explains it, out of many lines."""
+"""Tests of finding a request and the log lines that explain it."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 
 def request(at, request_id, **fields):
-    """Return the line of a request."""
+    """Return the line that ends a request."""
     values = {
         "at": at,
         "level": "info",
@@ -56,19 +56,19 @@
 
 
 def test_lines_on_its_targets_groups_and_the_process_are_found():
-    """Other targets, other requests and what was long before are left out."""
+    """Lines on other targets, on other requests and from long before are excluded."""
     trace = find_request(LINES, "id-1")
     assert trace.request["id"] == "id-1"
     assert [one["at"] for one in trace.around] == [99.0, 99.2, 99.3]
 
 
 def test_unknown_id_is_not_found():
-    """No line, no trace."""
+    """An id without a line results in None."""
     assert find_request(LINES, "id-9") is None
 
 
 def test_people_read_outcome_attempts_and_times():
-    """The text names what decided the outcome."""
+    """The text contains the outcome, its attempts and the related lines."""
     text = find_request(LINES, "id-1").render()
     assert "request id-1: unknown, target_silent" in text
     assert "i-1 of group g with 2 requests for 6 slots: lost, connection failed" in text
@@ -76,13 +76,13 @@
 
 
 def test_tools_read_json():
-    """The same as one document."""
+    """The trace is rendered as a JSON document."""
     document = json.loads(find_request(LINES, "id-2").as_json())
     assert document["request"]["id"] == "id-2"
 
 
 def test_rendering_names_what_joins_the_tries_of_a_request():
-    """A caller's tries have an id each; only the fingerprint joins them."""
+    """Each try of a caller has its own id; only the fingerprint relates them."""
     values = request(100.0, "id-1", fingerprint="5f0c")
     values["attempts"][0]["target_ended"] = True
     text = find_request([json.dumps(values)], "id-1").render()
@@ -91,7 +91,7 @@
 
 
 def test_age_of_the_list_and_rest_of_the_connection_are_told():
-    """They tell a choice by an old list, and a connection that had gone silent."""
+    """They show a choice from an old list and a connection that had been idle."""
     values = request(100.0, "id-1")
     values["attempts"][0] |= {"list_age_s": 2.63, "rested_s": 3.69}
     text = find_request([json.dumps(values)], "id-1").render()
@@ -100,7 +100,7 @@
 
 
 def test_what_the_target_asked_for_is_told():
-    """An attempt that a target turned away shows for how long, and that it leaves."""
+    """A refused attempt shows the requested back-off and that the target leaves."""
     values = request(100.0, "id-1")
     values["attempts"][0] |= {"backoff_asked_s": 3.0, "says_leaving": True}
     text = find_request([json.dumps(values)], "id-1").render()
@@ -108,10 +108,11 @@
 
 
 def test_what_earlier_tries_did_is_found_however_long_ago():
-    """Symptom: a refusal that names targets which no line near it is about.
+    """Lines on earlier tries of a request are found by their fingerprint.
 
-    Events: targets ended under earlier tries of the request, minutes before; others
-    ended under another request just now.
+    A refusal names targets that ended minutes before under earlier tries of the
+    request, and no line close to the refusal is about them.  Targets that ended under
+    another request at the same time are excluded.
     """
     lines = [
         event(20.0, "gateway: target ended under a request", fingerprint="5f0c"),
@@ -123,7 +124,7 @@
 
 
 def test_limits_of_the_service_are_found_however_long_ago():
-    """Symptom: a request is refused for limits that no line near it names."""
+    """Guards against omitting old lines on the limits that refused a request."""
     lines = [
         event(
             20.0, "target_limits: target names a limit", target="i-7", limited_service=s
