--- a/siskinthread/control/_survey.py
+++ b/siskinthread/control/_survey.py
@@ -91,7 +91,7 @@
     Parameters
     ----------
     settings : StatusSettings
-        Where to ask.
+        Address of the host list, keys and timeouts.
 
     Raises
     ------
@@ -112,7 +112,7 @@
     Parameters
     ----------
     settings : StatusSettings
-        Where to ask.
+        Address of the host list, keys and timeouts.
     question : Frame
         The question, sent to each host.
     read_answer : callable
--- a/siskinthread/control/operators.py
+++ b/siskinthread/control/operators.py
@@ -19,7 +19,7 @@
     Parameters
     ----------
     settings : StatusSettings
-        Where to ask.
+        Address of the host list, keys and timeouts.
 
     Raises
     ------
