--- a/siskinthread/observability/_logging.py
+++ b/siskinthread/observability/_logging.py
@@ -12,7 +12,7 @@
 
 _PACKAGE = "siskinthread"
 _FORMAT = "%(asctime)s %(levelname)s %(message)s"
-_WAITING_LIMIT_RECORDS = 10_000
+_QUEUE_LIMIT_RECORDS = 10_000
 _CLOSE_WAIT_S = 2.0
 
 
@@ -105,8 +105,8 @@
 
     def __init__(self, settings, stream, structured=False):
         level = settings.level.upper()
-        waiting = queue.Queue(_WAITING_LIMIT_RECORDS)
-        self._handler = _ForwardingHandler(waiting, settings.lines_limit_per_s)
+        pending = queue.Queue(_QUEUE_LIMIT_RECORDS)
+        self._handler = _ForwardingHandler(pending, settings.lines_limit_per_s)
         stream_handler = logging.StreamHandler(stream)
         formatter = _JsonFormatter() if structured else _LineFormatter(_FORMAT)
         stream_handler.setFormatter(formatter)
@@ -142,8 +142,8 @@
         line = one_line(super().format(record))
         fields = getattr(record, "event_fields", None)
         if fields:
-            words = " ".join(f"{name}={value}" for name, value in fields.items())
-            line = f"{line} {one_line(words)}"
+            fields_text = " ".join(f"{name}={value}" for name, value in fields.items())
+            line = f"{line} {one_line(fields_text)}"
         return line
 
 
@@ -167,7 +167,7 @@
 
     Parameters
     ----------
-    waiting : queue.Queue
+    pending : queue.Queue
         Queue of the records that are not yet written.
     lines_limit_per_s : int
         Most records accepted per second.
@@ -178,8 +178,8 @@
     on logging would grow with the load that already exceeds the processor time.
     """
 
-    def __init__(self, waiting, lines_limit_per_s):
-        super().__init__(waiting)
+    def __init__(self, pending, lines_limit_per_s):
+        super().__init__(pending)
         self.dropped = 0
         self._lines_limit_per_s = lines_limit_per_s
         self._second = 0
--- a/siskinthread/supervision/_supervision.py
+++ b/siskinthread/supervision/_supervision.py
@@ -12,7 +12,7 @@
 
 FIRST_RESTART_WAIT_S = 0.1
 LONGEST_RESTART_WAIT_S = 5.0
-SETTLED_AFTER_S = 30.0
+BACK_OFF_RESET_S = 30.0
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 RELOAD_SIGNAL = signal.SIGHUP
 WAKEUP_SIZE_BYTES = 64
@@ -60,7 +60,7 @@
             raise
         except (Exception, curio.TaskTimeout):
             _logger.exception("Task %s failed; restarting.", name)
-        if await curio.clock() - started_at_s > SETTLED_AFTER_S:
+        if await curio.clock() - started_at_s > BACK_OFF_RESET_S:
             wait_s = FIRST_RESTART_WAIT_S
         await curio.sleep(wait_s)
         wait_s = min(2 * wait_s, LONGEST_RESTART_WAIT_S)
