--- a/siskinthread/observability/_logging.py
+++ b/siskinthread/observability/_logging.py
@@ -12,7 +12,7 @@
 
 _PACKAGE = "siskinthread"
 _FORMAT = "%(asctime)s %(levelname)s %(message)s"
-_QUEUE_LIMIT_RECORDS = 10_000
+_WAITING_LIMIT_RECORDS = 10_000
 _CLOSE_WAIT_S = 2.0
 
 
@@ -105,7 +105,7 @@
 
     def __init__(self, settings, stream, structured=False):
         level = settings.level.upper()
-        pending = queue.Queue(_QUEUE_LIMIT_RECORDS)
+        pending = queue.Queue(_WAITING_LIMIT_RECORDS)
         self._handler = _ForwardingHandler(pending, settings.lines_limit_per_s)
         stream_handler = logging.StreamHandler(stream)
         formatter = _JsonFormatter() if structured else _LineFormatter(_FORMAT)
--- a/siskinthread/observability/tests/test_logging.py
+++ b/siskinthread/observability/tests/test_logging.py
@@ -125,7 +125,7 @@
     would block it once the pipe is full: no heartbeat would be sent, and peers would
     close the links of a live process.
     """
-    monkeypatch.setattr(_logging, "_QUEUE_LIMIT_RECORDS", 3)
+    monkeypatch.setattr(_logging, "_WAITING_LIMIT_RECORDS", 3)
     stream = BlockedStream()
     output = set_up_logging(LoggingSettings(), stream)
     logger = part_logger("links")
