--- a/siskinthread/settings/__init__.py
+++ b/siskinthread/settings/__init__.py
@@ -1,7 +1,7 @@
-"""Checked settings, read from JSON with comments.
+"""Validated settings, read from JSON with comments.
 
-Every sub-package that has settings declares them as a `Section` with an `Item` for each
-one.  The daemons compose the sections and pass the settings object whole.
+Each sub-package declares its settings as a `Section` with one `Item` per setting.  The
+daemons compose these sections and pass the settings object as a whole.
 """
 
 from siskinthread.settings._example import render_example
--- a/siskinthread/settings/_example.py
+++ b/siskinthread/settings/_example.py
@@ -1,4 +1,4 @@
-"""Commented examples of settings files."""
+"""Rendering of commented example settings files."""
 
 import functools
 import json
@@ -52,8 +52,8 @@
     Returns
     -------
     str
-        JSON with comments.  Every setting stands there with its type, unit, default,
-        minimum and description; required ones have an example value.
+        JSON with comments.  Each setting is preceded by its description, type, unit,
+        default and minimum; required settings have an example value.
     """
     return "\n".join(_section_lines(section_class, 0)) + "\n"
 
@@ -73,14 +73,14 @@
         first, *rest = _section_lines(item.kind, depth)
         lines += [f'{indent}"{item.name}": {first}', *rest]
     else:
-        value = json.dumps(_written_value(item), ensure_ascii=False)
+        value = json.dumps(_example_value(item), ensure_ascii=False)
         lines.append(f'{indent}"{item.name}": {value}')
     lines[-1] += ","
     return lines
 
 
 def _comment_lines(item, indent):
-    paragraphs = [item.description, _facts(item)]
+    paragraphs = [item.description, _type_summary(item)]
     lines = []
     for paragraph in filter(None, paragraphs):
         lines += textwrap.wrap(
@@ -94,7 +94,7 @@
     return lines
 
 
-def _facts(item):
+def _type_summary(item):
     if item.is_section:
         return "Section, required." if default_value(item) is REQUIRED else "Section."
     facts = [_kind_name(item.kind)]
@@ -104,7 +104,7 @@
     if item.required:
         facts.append("required")
     else:
-        default = json.dumps(_as_written(item.default), ensure_ascii=False)
+        default = json.dumps(_to_json(item.default), ensure_ascii=False)
         facts.append(f"default: {default}")
     if item.minimum is not None:
         facts.append(f"minimum: {item.minimum}")
@@ -113,39 +113,39 @@
 
 def _kind_name(kind):
     if isinstance(kind, Choice):
-        return "one of " + ", ".join(f'"{word}"' for word in kind.words)
+        return "one of " + ", ".join(f'"{word}"' for word in kind.options)
     return _KIND_NAMES[kind]
 
 
-def _written_value(item):
+def _example_value(item):
     if item.example is not None:
         return item.example
     if not item.required:
-        return _as_written(item.default)
+        return _to_json(item.default)
     if isinstance(item.kind, Choice):
-        return item.kind.words[0]
+        return item.kind.options[0]
     if item.kind in (int, float):
         return item.minimum if item.minimum is not None else 1
     return _EXAMPLES[item.kind]
 
 
 @functools.singledispatch
-def _as_written(value):
-    """Return the form that a settings file gives to a value."""
+def _to_json(value):
+    """Return the JSON form of a setting's value."""
     return value
 
 
-@_as_written.register
+@_to_json.register
 def _(value: Address):
     return str(value)
 
 
-@_as_written.register
+@_to_json.register
 def _(value: Key):
     return {"id": value.id, "secret": value.secret}
 
 
-@_as_written.register(list)
-@_as_written.register(tuple)
+@_to_json.register(list)
+@_to_json.register(tuple)
 def _(value):
-    return [_as_written(element) for element in value]
+    return [_to_json(element) for element in value]
--- a/siskinthread/settings/_items.py
+++ b/siskinthread/settings/_items.py
@@ -10,18 +10,18 @@
     ----------
     kind : type or Choice
         `int`, `float`, `str`, `bool`, a `Section`, a class of `siskinthread.settings`
-        or a `Choice` of words.
+        or a `Choice`.
     default : object
-        Value when the file leaves the setting out; without it the setting is required.
-        Where it is None the file may hold ``null``.
+        Value if the file omits the setting; a setting without a default is required.
+        If the default is None, the file may contain ``null``.
     minimum : float or None
-        Least value of a number, in the unit that the name's suffix states; least
-        number of elements of a list.
+        Minimum value of a number, in the unit given by the suffix of the name, or
+        minimum length of a list.
     description : str
         What the setting does.
     example : object
-        Value in the written form of the file for `render_example`; None lets it choose
-        one of the kind.
+        Example value for `render_example`, in JSON form.  If None, the minimum or a
+        generic value of the kind is used.
     """
 
     __slots__ = ("default", "description", "example", "kind", "minimum", "name")
@@ -51,18 +51,18 @@
 
     @property
     def is_section(self):
-        """Whether the setting is a group of settings."""
+        """Whether the kind of the setting is a `Section`."""
         return isinstance(self.kind, type) and issubclass(self.kind, Section)
 
 
 class Section:
-    """A group of settings; subclasses declare an `Item` for each one.
+    """A group of settings; subclasses declare one `Item` per setting.
 
     Parameters
     ----------
     **values
-        Values by name.  Those left out take their default; a subsection without a
-        value is built from its own defaults.
+        Values by name.  Omitted settings take their defaults; an omitted subsection is
+        built from its own defaults.
 
     Raises
     ------
@@ -85,7 +85,7 @@
             raise TypeError(f"missing settings: {', '.join(missing)}")
 
     def with_values(self, **values):
-        """Return a copy of the section in which some settings have other values."""
+        """Return a copy of the section with the given values replaced."""
         return type(self)(**(self.values | values))
 
     @classmethod
@@ -95,7 +95,7 @@
 
 
 def default_value(item):
-    """Return the value of a setting that is left out.
+    """Return the value of a setting that the file omits.
 
     Parameters
     ----------
@@ -104,8 +104,8 @@
     Returns
     -------
     object
-        ``REQUIRED`` where it can't be left out.  A subsection can if all that it
-        holds can.
+        ``REQUIRED`` if the setting can't be omitted.  A subsection without a default
+        can be omitted if all of its own settings can.
     """
     if not (item.is_section and item.required):
         return item.default
--- a/siskinthread/settings/_kinds.py
+++ b/siskinthread/settings/_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of setting beside the plain ones."""
+"""Kinds of settings beyond the built-in types."""
 
 import ipaddress
 
@@ -7,14 +7,14 @@
 
 
 class Address:
-    """An IP number and a TCP port, written ``"127.0.0.1:8080"`` or ``"[::1]:8080"``.
+    """An IP address and a TCP port, written ``"127.0.0.1:8080"`` or ``"[::1]:8080"``.
 
     Parameters
     ----------
     host : str
-        IP number.
+        IP address.
     port : int
-        TCP port; 0 lets the system choose.
+        TCP port; 0 lets the operating system choose one.
     """
 
     __slots__ = ("host", "port")
@@ -25,7 +25,7 @@
 
     @classmethod
     def parse(cls, text):
-        """Read an address from its written form.
+        """Parse an address.
 
         Parameters
         ----------
@@ -38,7 +38,8 @@
         Raises
         ------
         ValueError
-            If the IP number or the port is bad; the message says which.
+            If the IP address or the port is invalid; the message names the invalid
+            part.
         """
         host, colon, port = text.rpartition(":")
         if not colon:
@@ -93,9 +94,9 @@
     Parameters
     ----------
     id : str
-        Name of the key; it is sent in the clear.
+        Identifier of the key; sent unencrypted.
     secret : str
-        The secret; it is never logged.
+        Secret; omitted from ``repr`` and never logged.
     """
 
     __slots__ = ("id", "secret")
@@ -117,19 +118,19 @@
 
 
 class KeyList(list):
-    """A list of `Key`; the first one signs."""
+    """A list of `Key`; the first key signs."""
 
 
 class Choice:
-    """One of several words; an instance is the kind of a setting.
+    """A string out of a fixed set; an instance serves as the kind of an `Item`.
 
     Parameters
     ----------
-    *words : str
-        The words that are allowed.
+    *options : str
+        Allowed values.
     """
 
-    __slots__ = ("words",)
+    __slots__ = ("options",)
 
-    def __init__(self, *words):
-        self.words = words
+    def __init__(self, *options):
+        self.options = options
--- a/siskinthread/settings/_loading.py
+++ b/siskinthread/settings/_loading.py
@@ -1,4 +1,4 @@
-"""From a document to a settings object."""
+"""Conversion of a document to a settings object."""
 
 from siskinthread.documents import read_document
 from siskinthread.errors import SettingsError
@@ -13,7 +13,7 @@
 
 
 def load_section(section_class, text, source_name):
-    """Read a settings object from the text of a file.
+    """Build a settings object from the text of a file.
 
     Parameters
     ----------
@@ -22,7 +22,7 @@
     text : str
         JSON with comments.
     source_name : str
-        Name of the file, for messages.
+        Name of the file, for error messages.
 
     Returns
     -------
@@ -31,8 +31,8 @@
     Raises
     ------
     SettingsError
-        With every problem and its place in the file: unknown, repeated and missing
-        keys, wrong types, numbers under their minimum, bad addresses.
+        Lists every problem with its position in the file: unknown, repeated and
+        missing keys, wrong types, numbers below their minimum, invalid addresses.
     """
     document = read_document(text, source_name)
     reading = Reading(document)
@@ -76,6 +76,6 @@
     if default is not REQUIRED:
         return default
     if item.is_section:
-        # Names each setting that the section must hold.
+        # Reading an empty object reports each required setting of the section.
         return _read_section(item.kind, {}, path, reading)
     return reading.report(path, "missing setting")
--- a/siskinthread/settings/_reading.py
+++ b/siskinthread/settings/_reading.py
@@ -1,7 +1,8 @@
-"""Reading of values by the kind of their setting.
+"""Readers that convert a document's values to the kinds of their settings.
 
-Each reader returns the value, or ``INVALID`` after it has noted every problem, so that
-all problems of a file are found in one run.
+Each reader returns the converted value.  If the value is invalid, it records every
+problem and returns ``INVALID`` instead of raising, so that all problems of a file are
+reported at once.
 """
 
 import math
@@ -19,7 +20,7 @@
 
 INVALID = object()
 
-# Frames between the processes carry integers of 64 bits.
+# Frames between processes carry signed 64-bit integers.
 _INTEGER_LIMIT = 2**63 - 1
 _KEY_FIELDS = ("id", "secret")
 _TYPE_NAMES = {
@@ -48,40 +49,43 @@
         self.problems = list(document.problems)
 
     def report(self, path, message):
-        """Note a problem of a value and return ``INVALID``.
+        """Record a problem with a value and return ``INVALID``.
 
         Parameters
         ----------
         path : tuple of str or int
+            Keys and indices that lead to the value.
         message : str
+            Description of the problem.
 
         Returns
         -------
         object
+            ``INVALID``.
         """
-        self._note(self._document.place(path), path, message)
+        self._add_problem(self._document.place(path), path, message)
         return INVALID
 
     def report_key(self, path, message):
-        """Note a problem of a key."""
-        self._note(self._document.key_place(path), path, message)
+        """Record a problem with a key."""
+        self._add_problem(self._document.key_place(path), path, message)
 
-    def _note(self, place, path, message):
+    def _add_problem(self, place, path, message):
         name = _dotted(path)
         message = f"{name}: {message}" if name else message
         self.problems.append(Problem(self._document.source_name, place, message))
 
 
 def read_value(item, value, path, reading):
-    """Read the value of a setting that is no section.
+    """Read the value of a setting that is not a section.
 
     Parameters
     ----------
     item : Item
     value : object
-        What the document holds.
+        Value in the document.
     path : tuple of str or int
-        Where it stands in the document.
+        Keys and indices that lead to the value.
     reading : Reading
 
     Returns
@@ -100,17 +104,17 @@
 
 
 def wrong_type(expected, value, path, reading):
-    """Note that a value has the wrong type and return ``INVALID``.
+    """Record that a value has the wrong type and return ``INVALID``.
 
-    The message names the type of the value and not the value, which may be a secret
-    that stands at a wrong place.
+    The message gives the type of the value instead of the value itself, which may be a
+    misplaced secret.
     """
     found = _TYPE_NAMES[type(value)]
     return reading.report(path, f"expected {expected}, found {found}")
 
 
 def unknown_key(key, known, path, reading):
-    """Note a key that no setting has."""
+    """Record a key that is not the name of a setting."""
     reading.report_key(path, f"unknown setting{suggestion(key, known)}")
 
 
@@ -125,11 +129,11 @@
 
 
 def _read_choice(choice, value, path, reading):
-    expected = "one of " + ", ".join(f'"{word}"' for word in choice.words)
+    expected = "one of " + ", ".join(f'"{word}"' for word in choice.options)
     if not isinstance(value, str):
         return wrong_type(expected, value, path, reading)
-    if value not in choice.words:
-        hint = suggestion(value, choice.words)
+    if value not in choice.options:
+        hint = suggestion(value, choice.options)
         return reading.report(path, f'expected {expected}, found "{value}"{hint}')
     return value
 
@@ -143,7 +147,7 @@
 def _read_int(value, path, reading):
     if isinstance(value, float):
         return reading.report(path, f"expected a whole number, found {value}")
-    # In Python a boolean is an integer too.
+    # `bool` is a subclass of `int`.
     if isinstance(value, bool) or not isinstance(value, int):
         return wrong_type("a whole number", value, path, reading)
     if abs(value) > _INTEGER_LIMIT:
@@ -158,7 +162,7 @@
         number = float(value)
     except OverflowError:
         return reading.report(path, "the number is too large")
-    # Every comparison with NaN is false, so that a limit of NaN would never bind.
+    # Every comparison with NaN is false, so a limit of NaN would never take effect.
     if not math.isfinite(number):
         return reading.report(path, f"expected a finite number, found {number}")
     return number
@@ -229,7 +233,8 @@
         return INVALID
     if not keys:
         return reading.report(path, "expected at least one key")
-    # With two secrets under one id it would depend on the order which one is tried.
+    # With two secrets under one id, the order of the list would decide which secret
+    # is used.
     ids = [key.id for key in keys]
     for index, key_id in enumerate(ids):
         if key_id in ids[:index]:
--- a/siskinthread/settings/_suggestions.py
+++ b/siskinthread/settings/_suggestions.py
@@ -1,10 +1,10 @@
-"""Suggestions for misspelt words."""
+"""Suggestions for misspelt names."""
 
 import difflib
 
 
 def suggestion(word, known):
-    """Return a hint at the known word that is closest to a misspelt one.
+    """Return a hint that names the known word closest to a misspelt word.
 
     Parameters
     ----------
@@ -14,7 +14,7 @@
     Returns
     -------
     str
-        Text to append to a message; empty if no known word is close.
+        Text to append to an error message; empty if no known word is similar.
     """
     matches = difflib.get_close_matches(word, known, n=1)
     return f'; did you mean "{matches[0]}"?' if matches else ""
--- a/siskinthread/settings/_units.py
+++ b/siskinthread/settings/_units.py
@@ -1,6 +1,6 @@
-"""Units that the suffixes of the names state."""
+"""Units given by the suffixes of setting names."""
 
-# The longest suffixes come first: `_bytes_per_s` ends with `_s` too.
+# Longer suffixes come before their own endings: `_bytes_per_s` also ends with `_s`.
 _UNITS = (
     ("_bytes_per_s", "bytes per second"),
     ("_tokens_per_s", "tokens per second"),
@@ -17,7 +17,7 @@
 
 
 def unit_of(name):
-    """Return the unit that a setting's name states.
+    """Return the unit given by the suffix of a setting's name.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
     Returns
     -------
     str or None
-        None for a name without a suffix of a unit.
+        None for a name without a unit suffix.
     """
     for suffix, unit in _UNITS:
         if name.endswith(suffix):
--- a/siskinthread/settings/tests/test_example.py
+++ b/siskinthread/settings/tests/test_example.py
@@ -1,4 +1,4 @@
-"""Tests of the examples: each one loads again."""
+"""Tests that rendered examples are valid settings files."""
 
 import importlib
 import pkgutil
@@ -18,7 +18,7 @@
 )
 
 
-def all_sections():
+def declared_sections():
     """Return every section that the project declares."""
     for module in pkgutil.walk_packages(siskinthread.__path__, "siskinthread."):
         if ".tests" not in module.name and not module.name.endswith("__main__"):
@@ -31,7 +31,7 @@
     size_bytes = Item(int, minimum=1024, description="Size.")
 
 
-class Every(Section):
+class AllKinds(Section):
     flag = Item(bool)
     count = Item(int)
     rate_per_s = Item(float, minimum=2.5, description="Long words. " * 20)
@@ -50,30 +50,30 @@
     loaded = load_section(section_class, render_example(section_class), "example")
     for item in section_class.items():
         if not item.required:
-            assert as_plain(getattr(loaded, item.name)) == as_plain(item.default)
+            assert as_list(getattr(loaded, item.name)) == as_list(item.default)
 
 
 def test_example_of_every_kind_loads_again():
-    """An example is accepted and holds the default of every setting that has one."""
-    check_round_trip(Every)
+    """An example is valid and contains the default of each setting that has one."""
+    check_round_trip(AllKinds)
 
 
 def test_example_of_every_section_of_the_project_loads_again():
-    """No section has a default or an example that its own file would not allow."""
-    sections = all_sections()
+    """No section has a default or an example value that `load_section` rejects."""
+    sections = declared_sections()
     assert sections
     for section_class in sections:
         check_round_trip(section_class)
 
 
-def as_plain(value):
-    """Return a value whose lists and tuples compare as equal."""
+def as_list(value):
+    """Convert tuples and list subclasses to lists, so that they compare as equal."""
     return list(value) if isinstance(value, list | tuple) else value
 
 
 def test_example_states_what_an_operator_must_know():
-    """Type, unit, default, minimum and description stand above each setting."""
-    lines = render_example(Every).splitlines()
+    """Description, type, unit, default and minimum precede each setting."""
+    lines = render_example(AllKinds).splitlines()
     assert max(map(len, lines)) <= 88
     position = lines.index('    "inner": {')
     assert lines[position - 2 : position + 4] == [
@@ -89,11 +89,11 @@
 
 
 def test_every_setting_of_the_project_has_a_description():
-    """No setting is left unexplained."""
-    bare = [
+    """Every setting has a description."""
+    undescribed = [
         f"{section.__name__}.{item.name}"
-        for section in all_sections()
+        for section in declared_sections()
         for item in section.items()
         if not item.description
     ]
-    assert bare == []
+    assert undescribed == []
--- a/siskinthread/settings/tests/test_loading.py
+++ b/siskinthread/settings/tests/test_loading.py
@@ -1,4 +1,4 @@
-"""Tests of settings: every kind of bad input, all problems at once."""
+"""Tests of loading: each kind of invalid input, and several problems at once."""
 
 import pytest
 
@@ -55,7 +55,7 @@
 
 
 def test_values_have_the_type_of_their_kind():
-    """Written values become typed ones; those left out take their default."""
+    """Values are converted to their kinds; omitted settings take their defaults."""
     loaded = load_section(
         Outer,
         '{"listen": "[::1]:80", "others": ["10.0.0.1:0"], "labels": ["a"],'
@@ -73,7 +73,7 @@
 
 
 def test_all_problems_are_reported_at_once_in_order():
-    """One run names every problem, each with its place, also beside repeated keys."""
+    """All problems, repeated keys included, are reported in order of position."""
     text = """{
     "listne": "127.0.0.1:80",
     "others": ["10.0.0.1:1", "10.0.0.300:1"],
@@ -135,31 +135,30 @@
     ],
 )  # fmt: skip
 def test_bad_value_is_named(text, expected):
-    """A bad value is refused with the setting and what was expected of it."""
+    """An invalid value is rejected with its setting's name and what was expected."""
     assert problem_of_setting(text) == expected
 
 
 @pytest.mark.parametrize("number", ["NaN", "Infinity", "-Infinity"])
 def test_number_that_is_not_finite_is_refused(number):
-    """A limit that is no finite number is refused.
+    """NaN and infinities are rejected.
 
-    Symptom: a wait never ends although its limit is set.  Sequence: the file holds
-    NaN, which passes every check against a minimum.  Cause: comparisons with NaN are
-    false.
+    Guards against a wait without end although its limit is set: comparisons with NaN
+    are false, so NaN passes the check against the minimum.
     """
     (problem,) = problems_of(GOOD.replace('"x"', f'"x", "wait_s": {number}') % "")
     assert "inner.wait_s: expected a finite number, found" in problem
 
 
 def test_secret_is_in_no_problem():
-    """A secret at a wrong place is not repeated in the messages."""
+    """A misplaced secret is not repeated in error messages."""
     text = GOOD % '"keys": [{"id": "k", "secret": ["hush"]}, "hush"], "limit": "hush"'
     assert "hush" not in "\n".join(problems_of(text))
     assert "hush" not in repr(Key("k", "hush"))
 
 
 def test_absent_section_names_what_it_must_hold():
-    """A missing section is reported by the required settings inside it."""
+    """A missing section is reported as its missing required settings."""
     assert problems_of('{"listen": "127.0.0.1:80"}') == [
         f"{SOURCE}:1:1: inner.name: missing setting"
     ]
@@ -167,11 +166,11 @@
 
 @pytest.mark.parametrize("text", ["[]", "1", "null", '"x"'])
 def test_file_must_hold_an_object(text):
-    """A file with another value is refused as a whole."""
+    """A file whose outermost value is not an object is rejected."""
     (problem,) = problems_of(text)
     assert problem.startswith(f"{SOURCE}:1:1: expected an object, found ")
 
 
 def test_syntax_error_is_a_settings_error():
-    """A broken file raises the same error as a bad setting."""
+    """A syntax error raises the same exception as an invalid setting."""
     assert problems_of('{"listen"') == [f"{SOURCE}:1:1: unclosed object"]
