--- a/siskinthread/documents/__init__.py
+++ b/siskinthread/documents/__init__.py
@@ -1,11 +1,11 @@
-"""JSON with comments that knows the place of each value.
+"""JSON with comments, with the source position of each value.
 
-Interface: ``load_document(text, source_name)`` returns a ``Document`` with ``value``
-(plain dicts, lists and scalars) and ``place(path)`` for a tuple of keys and indices, a
-``Place`` (line, column).  Repeated keys and syntax errors raise `DocumentError` with
-every ``Problem`` (source_name, place, message; ``str`` gives ``file:line:column:
-message``).  ``read_document`` does not raise but leaves the problems in
-``Document.problems``, for callers that add problems of their own.
+``load_document(text, source_name)`` returns a `Document`.  Its ``value`` consists of
+plain dicts, lists and scalars, and its ``place(path)`` returns the `Place` (line and
+column) of the value at a tuple of keys and indices.  Repeated keys and syntax errors
+raise `DocumentError` with a list of `Problem`, which ``str`` formats as
+``file:line:column: message``.  ``read_document`` doesn't raise but keeps the problems
+in ``Document.problems``, for callers that add further problems.
 """
 
 from siskinthread.documents._document import Document, load_document, read_document
--- a/siskinthread/documents/_document.py
+++ b/siskinthread/documents/_document.py
@@ -1,4 +1,4 @@
-"""From text to a document."""
+"""Parsing of text into a document."""
 
 import re
 
@@ -6,8 +6,8 @@
 from siskinthread.documents._places import LineTable, Problem
 from siskinthread.errors import DocumentError
 
-# Deeper documents are refused, so that code that walks over a value can't exhaust the
-# interpreter's stack.
+# Documents with deeper nesting are rejected, so that recursive code that processes a
+# value can't exhaust the interpreter's stack.
 _DEPTH_LIMIT = 32
 
 _OFFSET = re.compile(r"\s*(?:starting )?near (\d+)")
@@ -18,18 +18,19 @@
 
 
 class Document:
-    """A value and where its parts stand in the text.
+    """A parsed value and the positions of its parts in the text.
 
     Parameters
     ----------
     source_name : str
+        Name of the file.
     value : object
-        Plain dicts, lists, strings, numbers, booleans and None; None too where the
-        syntax is broken.
+        Plain dicts, lists, strings, numbers, booleans and None; also None if the text
+        has a syntax error.
     index : PlaceIndex
     lines : LineTable
     problems : list of Problem
-        Syntax errors and repeated keys in the order of the text.
+        Syntax errors and repeated keys, in order of position.
     """
 
     __slots__ = ("_index", "_lines", "problems", "source_name", "value")
@@ -42,45 +43,46 @@
         self.problems = problems
 
     def place(self, path=()):
-        """Return where a value begins.
+        """Return the position of the first character of a value.
 
         Parameters
         ----------
         path : tuple of str or int
-            Keys and indices from the outermost value on.
+            Keys and indices that lead from the outermost value to the value.
 
         Returns
         -------
         Place
-            For a path that does not exist, the place of the nearest value around it,
-            so that a missing key is reported at the object that lacks it.
+            If the path does not exist, the position of the innermost existing value on
+            it, so that a missing key is reported at the object that lacks it.
         """
         return self._lines.place(self._index.value_offset(path))
 
     def key_place(self, path):
-        """Return where the key that leads to a value begins.
+        """Return the position of the key of a value.
 
         Parameters
         ----------
         path : tuple of str or int
+            Keys and indices that lead from the outermost value to the value.
 
         Returns
         -------
         Place
-            For an element of a list, the place of the value.
+            For an element of a list, the position of the element itself.
         """
         return self._lines.place(self._index.key_offset(path))
 
 
 def load_document(text, source_name):
-    """Read JSON with comments.
+    """Parse JSON with comments.
 
     Parameters
     ----------
     text : str
         JSON5: JSON with comments, trailing commas and keys without quotes.
     source_name : str
-        Name of the file, for messages.
+        Name of the file, for error messages.
 
     Returns
     -------
@@ -89,7 +91,7 @@
     Raises
     ------
     DocumentError
-        With every repeated key and the first syntax error.
+        Lists every repeated key and the first syntax error.
     """
     document = read_document(text, source_name)
     if document.problems:
@@ -98,28 +100,30 @@
 
 
 def read_document(text, source_name):
-    """Read JSON with comments and keep its problems instead of raising them.
+    """Parse JSON with comments and collect its problems instead of raising them.
 
     Parameters
     ----------
     text, source_name : str
+        As for `load_document`.
 
     Returns
     -------
     Document
-        If the syntax is broken its value is None and the repeated keys are those
-        before the error.
+        If the text has a syntax error, the value is None and only repeated keys before
+        the error are reported.  An unclosed object or list, however, is searched for
+        repeated keys up to the end of the text.
     """
-    # Imported here: a daemon that reads no such document saves 3.7 MB (peak resident
-    # size of the interpreter with and without the import).
+    # Imported here: a daemon that reads no such document saves 3.7 MB of peak resident
+    # memory.
     import pyjson5
 
     lines = LineTable(text)
     try:
         value = pyjson5.decode(text, _DEPTH_LIMIT)
     except pyjson5.Json5DecoderException as error:
-        offset, message = _explain(text, error)
-        index = PlaceIndex(text, _readable_end(text, offset, message))
+        offset, message = _describe_error(text, error)
+        index = PlaceIndex(text, _index_end(text, offset, message))
         problems = _repeated_key_problems(source_name, index, lines)
         problems.append(Problem(source_name, lines.place(offset), message))
         problems.sort(key=lambda problem: problem.place)
@@ -138,18 +142,18 @@
     return problems
 
 
-def _readable_end(text, offset, message):
-    # An object or list without its end is reported where it begins; all that follows
-    # can be read.
+def _index_end(text, offset, message):
+    # An unclosed object or list is reported at its opening bracket; the text after the
+    # bracket can be indexed.
     is_unclosed = message.startswith(_UNCLOSED_MESSAGES)
     return len(text) if is_unclosed else offset
 
 
-def _explain(text, error):
-    """Return the offset and a readable message of the library's error."""
+def _describe_error(text, error):
+    """Return the offset of a parser error and a readable message."""
     report = error.args[0]
     found = _OFFSET.search(report)
-    offset = _offset(text, error, int(found.group(1))) if found else 0
+    offset = _error_offset(text, error, int(found.group(1))) if found else 0
     message = _OFFSET.sub("", report)
     message = _CHARACTER.sub(lambda match: repr(chr(int(match.group(1), 16))), message)
     message = _NAME.sub(lambda match: _NAMES.get(match.group(1), match[1]), message)
@@ -157,12 +161,13 @@
     return offset, message.replace("unclosed NumericLiteral", "unreadable number")
 
 
-def _offset(text, error, count):
+def _error_offset(text, error, count):
     if type(error).__name__ == "Json5ExtraData":
-        # Here the library counts the characters before the data, without spaces.
+        # For extra data, the library reports the offset after the value; spaces may
+        # precede the extra data.
         rest = text[count:]
         return count + len(rest) - len(rest.lstrip())
-    # Elsewhere it counts the character at fault too, and of the two characters that
-    # open a comment the second one.
+    # For other errors, the library reports the offset after the invalid character, and
+    # for an unclosed comment the offset after the two characters that open it.
     is_comment = error.args[0].startswith("Unclosed b'comment'")
     return min(max(count - (2 if is_comment else 1), 0), len(text))
--- a/siskinthread/documents/_index.py
+++ b/siskinthread/documents/_index.py
@@ -1,15 +1,15 @@
-"""Where each key and value of a document stands.
+"""Index of the positions of keys and values in a document.
 
-The library that reads the values neither reports their places nor repeated keys: of
-two equal keys it silently keeps the last one.  A setting that stands twice would then
-have another value than the operator sees at its first place.  The index walks over the
-tokens once, which finds every repeated key.
+The JSON5 library reports neither positions nor repeated keys: of two equal keys, it
+silently keeps the last.  If a setting occurred twice, its value could differ from the
+one that the operator sees at the first occurrence.  The index scans the tokens once and
+finds every repeated key.
 """
 
 import re
 
-# A token is a comment, a string, a mark or a run of other characters.  An end that is
-# missing is not checked here: the library refuses such a text.
+# A token is a comment, a string, a punctuation character or a run of other characters.
+# Unterminated strings and comments are not detected here: the library rejects them.
 _TOKEN = re.compile(
     r"""//[^\n\r\u2028\u2029]*
     |/\*.*?\*/
@@ -22,13 +22,13 @@
 
 
 class RepeatedKey:
-    """A key that stands more than once in the same object.
+    """A key that occurs more than once in the same object.
 
     Parameters
     ----------
     key : str
     offset, first_offset : int
-        Index of the repeated key and of the first equal one, in characters.
+        Offsets of the repeated key and of the previous occurrence, in characters.
     """
 
     __slots__ = ("first_offset", "key", "offset")
@@ -40,7 +40,7 @@
 
 
 class _Node:
-    """An object or a list: where it begins, and its children by key or index."""
+    """An object or a list: its offset, and its children by key or index."""
 
     __slots__ = ("children", "key_offsets", "offset")
 
@@ -57,8 +57,8 @@
     ----------
     text : str
     end : int or None
-        Index of the first character that is not looked at; a broken text is indexed
-        up to its syntax error.
+        Offset at which the scan stops, for a text with a syntax error; None for the
+        end of the text.
     """
 
     __slots__ = ("_root", "repeated_keys")
@@ -69,17 +69,18 @@
         self._scan(text, len(text) if end is None else end)
 
     def value_offset(self, path):
-        """Return the index of a value's first character.
+        """Return the offset of the first character of a value.
 
         Parameters
         ----------
         path : tuple of str or int
-            Keys and indices from the outermost value on.
+            Keys and indices that lead from the outermost value to the value.
 
         Returns
         -------
         int
-            For a path that does not exist, the offset of the nearest value around it.
+            If the path does not exist, the offset of the innermost existing value on
+            it.
         """
         found = self._root
         for part in (0, *path):
@@ -89,10 +90,9 @@
         return found.offset if isinstance(found, _Node) else found
 
     def key_offset(self, path):
-        """Return the index of the key that leads to a value.
+        """Return the offset of the key of a value.
 
-        For an element of a list, or a path that does not exist, this is the
-        `value_offset`.
+        For an element of a list or a path that does not exist, return `value_offset`.
         """
         parent = self._root
         for part in (0, *path[:-1]):
@@ -116,7 +116,7 @@
                 key = None
             elif first in "{[":
                 child = _Node(match.start(), is_object=first == "{")
-                _attach(node, key, child)
+                _add_child(node, key, child)
                 stack.append(child)
                 node = child
                 key = None
@@ -127,18 +127,18 @@
                 node = stack[-1]
             elif key is None and node.key_offsets is not None:
                 key = _decode_key(token)
-                self._note_key(node, key, match.start())
+                self._record_key(node, key, match.start())
             else:
-                _attach(node, key, match.start())
+                _add_child(node, key, match.start())
 
-    def _note_key(self, node, key, offset):
+    def _record_key(self, node, key, offset):
         first_offset = node.key_offsets.get(key)
         if first_offset is not None:
             self.repeated_keys.append(RepeatedKey(key, offset, first_offset))
         node.key_offsets[key] = offset
 
 
-def _attach(node, key, child):
+def _add_child(node, key, child):
     if node.key_offsets is None:
         key = len(node.children)
     node.children[key] = child
@@ -146,7 +146,7 @@
 
 def _decode_key(token):
     if "\\" in token:
-        import pyjson5  # Not at the top: see read_document.
+        import pyjson5  # Imported late to save memory: see read_document.
 
         (key,) = pyjson5.decode(f"{{{token}:0}}")
         return key
--- a/siskinthread/documents/_places.py
+++ b/siskinthread/documents/_places.py
@@ -1,4 +1,4 @@
-"""Places in a text and problems found there."""
+"""Positions in a text, and problems reported at them."""
 
 import bisect
 import functools
@@ -6,7 +6,7 @@
 
 from siskinthread.documents._one_line import one_line
 
-# The line ends of JSON5.
+# The line terminators of JSON5.
 _LINE_END = re.compile("\r\n|[\n\r\u2028\u2029]")
 
 
@@ -17,9 +17,9 @@
     Parameters
     ----------
     line : int
-        Line, counted from 1.
+        Line number, starting at 1.
     column : int
-        Column in characters, counted from 1.
+        Column in characters, starting at 1.
     """
 
     __slots__ = ("column", "line")
@@ -47,10 +47,10 @@
 
 
 class LineTable:
-    """The lines of a text, to turn an offset into a place.
+    """Converts offsets in a text to places.
 
-    They are looked for when the first place is asked for, since most documents have
-    no problem to report.
+    The line starts are computed when the first place is requested, because most
+    documents have no problem to report.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
         Parameters
         ----------
         offset : int
-            Index of the character in the text.
+            Offset of the character in the text, starting at 0.
 
         Returns
         -------
@@ -83,7 +83,7 @@
 
 
 class Problem:
-    """Something wrong in a document.
+    """A problem found in a document.
 
     Parameters
     ----------
@@ -91,7 +91,7 @@
         Name of the file.
     place : Place
     message : str
-        What is wrong; line ends in it are escaped.
+        Description of the problem; line breaks in it are escaped.
     """
 
     __slots__ = ("message", "place", "source_name")
--- a/siskinthread/documents/tests/test_document.py
+++ b/siskinthread/documents/tests/test_document.py
@@ -1,4 +1,4 @@
-"""Tests of documents: broken text, repeated keys, places."""
+"""Tests of documents: syntax errors, repeated keys, places."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 
 def test_comments_and_trailing_commas_are_read():
-    """Comments, trailing commas and keys without quotes give plain values."""
+    """Comments, trailing commas and unquoted keys are accepted."""
     text = '// one\n{"a": [1, 2,], /* two */ b: {"c": null,},}'
     assert load_document(text, SOURCE).value == {"a": [1, 2], "b": {"c": None}}
 
@@ -40,16 +40,15 @@
     ],
 )
 def test_syntax_error_is_reported_at_its_place(text, expected):
-    """A syntax error gives one line with the line and column of the fault."""
+    """A syntax error is reported once, with its line and column."""
     assert problems_of(text) == [f"{SOURCE}:{expected}"]
 
 
 def test_every_repeated_key_is_reported():
-    """Keys repeated at any depth are all reported, however they are written.
+    """Repeated keys are reported at any depth and in any notation.
 
-    Symptom: a setting that an operator sees in a file is not in force.  Sequence: the
-    key stands twice, the reader keeps the last value without a word.  Cause: the
-    library that reads the values does not check keys.
+    Guards against a setting that an operator sees in a file but that is not in force:
+    the JSON5 library doesn't check for repeated keys and silently keeps the last value.
     """
     text = '{"a": 1,\n "a": {b: 1, "\\u0062": 2},\n "c": [{\'x\': 1, x: 2, x: 3}]}'
     assert problems_of(text) == [
@@ -76,7 +75,7 @@
 
 
 def test_repeated_keys_are_found_in_an_object_without_its_end():
-    """A missing end is reported at the beginning, and all that follows is read."""
+    """An unclosed object is reported at its start and indexed to the text's end."""
     assert problems_of('{"a": 1, "a": 2, "b": [1]') == [
         f"{SOURCE}:1:1: unclosed object",
         f'{SOURCE}:1:10: repeated key "a", first at 1:2',
@@ -84,7 +83,7 @@
 
 
 def test_marks_in_strings_and_comments_are_no_structure():
-    """Brackets, colons and quotes in strings and comments move no place."""
+    """Brackets, colons and quotes in strings and comments don't affect places."""
     text = '{ // {"z": [\n "k:{": "}],\\"", /* "z": { */ "y": [ {}, "//" ] }'
     document = load_document(text, SOURCE)
     assert document.value == {"k:{": '}],"', "y": [{}, "//"]}
@@ -101,7 +100,7 @@
 
 
 def test_problem_stays_on_one_line():
-    """Line ends and control characters in a key can't forge a second message."""
+    """Line breaks and control characters in a key can't forge a second message."""
     (problem,) = problems_of('{"a\\nf:1:1: x\\u001b": 1, "a\\nf:1:1: x\\u001b": 2}')
     assert problem.splitlines() == [problem]
     assert one_line("a\r\n\u2028\x1b\x85é") == "a\\r\\n\\u2028\\x1b\\x85é"
@@ -133,7 +132,7 @@
 @settings(derandomize=True, deadline=None, max_examples=80)
 @given(VALUES, strategies.booleans(), strategies.sampled_from([None, 1, 2]))
 def test_each_place_holds_the_value_of_its_path(value, ascii_only, indent):
-    """The text at a value's place, read on its own, begins with that value."""
+    """Parsing the text from a value's place on gives that value."""
     text = json.dumps(value, ensure_ascii=ascii_only, indent=indent)
     document = load_document(text, SOURCE)
     lines = text.split("\n")
@@ -149,7 +148,7 @@
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(strategies.text(alphabet="{}[]:,\"'\\/*\n\r a1u0é\u2028", max_size=25))
 def test_no_text_breaks_the_reader(text):
-    """Any text either has the library's value or at least one problem."""
+    """Any text gives either the value that the library parses or a problem."""
     document = read_document(text, SOURCE)
     try:
         expected = pyjson5.decode(text)
@@ -161,7 +160,7 @@
 
 
 class Pairs(list):
-    """An object as pairs, in which a key can stand twice."""
+    """An object as a list of pairs, in which a key can be repeated."""
 
 
 NESTED_PAIRS = strategies.recursive(
@@ -177,13 +176,13 @@
 KEY_FORMS = ("{}", '"{}"', "'{}'", "/* {{ */ {}", '"\\u{:04x}"', '// "\n{}')
 
 
-def written(value, forms):
-    """Write a value with its keys in changing forms."""
+def serialized(value, forms):
+    """Serialize a value, with each key in a random notation."""
     if isinstance(value, Pairs):
-        pairs = [f"{key_form(key, forms)}: {written(v, forms)}," for key, v in value]
+        pairs = [f"{key_form(key, forms)}: {serialized(v, forms)}," for key, v in value]
         return "{" + "".join(pairs) + "}"
     if isinstance(value, list):
-        return "[" + ",".join(written(element, forms) for element in value) + "]"
+        return "[" + ",".join(serialized(element, forms) for element in value) + "]"
     return str(value)
 
 
@@ -192,20 +191,20 @@
     return form.format(ord(key) if "04x" in form else key)
 
 
-def repeated_keys(value):
-    """Count the naive way the keys that stand already in the same object."""
+def count_repeated_keys(value):
+    """Count the repeated keys of all objects without using offsets."""
     if isinstance(value, Pairs):
         keys = [key for key, _ in value]
         own = len(keys) - len(set(keys))
-        return own + sum(repeated_keys(inner) for _, inner in value)
+        return own + sum(count_repeated_keys(inner) for _, inner in value)
     if isinstance(value, list):
-        return sum(repeated_keys(element) for element in value)
+        return sum(count_repeated_keys(element) for element in value)
     return 0
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(NESTED_PAIRS, strategies.randoms(use_true_random=False))
 def test_repeated_keys_are_those_that_a_naive_count_finds(value, forms):
-    """No repeated key is missed or made up, in whatever form the keys are written."""
-    document = read_document(written(value, forms), SOURCE)
-    assert len(document.problems) == repeated_keys(value)
+    """The number of repeated keys equals a naive count, in any notation of the keys."""
+    document = read_document(serialized(value, forms), SOURCE)
+    assert len(document.problems) == count_repeated_keys(value)
