--- a/siskinthread/configuration/__init__.py
+++ b/siskinthread/configuration/__init__.py
@@ -1,9 +1,10 @@
-"""Published configuration: objects, selectors, records and the state they fold to.
+"""Published configuration: objects, selectors, log records and the resulting state.
 
 ``follow_log(client, view, settings, clock, metrics)`` is the task that every daemon
-runs; ``settings`` is a `siskinthread.shared_services.PlatformSettings`.  A daemon whose
-peers ask it makes a `LogFollower` instead, whose ``run()`` is that task, and gives
-their ``ConfigurationRequest`` to its ``answer(request)``; `Peers` is how it asks them.
+runs; ``settings`` is a `siskinthread.shared_services.PlatformSettings`.  A daemon that
+exchanges records with peers creates a `LogFollower` instead.  Its ``run()`` is the same
+task, its ``answer(request)`` answers a ``ConfigurationRequest`` of a peer, and it sends
+its own requests through `Peers`.
 """
 
 from siskinthread.configuration._exchange import Peers
--- a/siskinthread/configuration/_collecting.py
+++ b/siskinthread/configuration/_collecting.py
@@ -1,4 +1,4 @@
-"""Records collected at the start, and where to begin with them."""
+"""Collection of the log's records at the start, and the choice of a base state."""
 
 from siskinthread.configuration._fold import Fold
 from siskinthread.configuration._records import RecordError
@@ -6,16 +6,16 @@
 
 
 class CollectedRecords:
-    """Consecutive records of the log, and the snapshots among them.
+    """Consecutive records of the log, and the snapshots that they contain.
 
     Attributes
     ----------
     next_offset : int
-        Where the log ended at the last read.
+        End of the log at the last read.
     size_bytes : int
-        Length of all bodies together.
-    why_unusable : str
-        Why there is nothing to start from.
+        Total length of the bodies.
+    unusable_reason : str
+        Reason why `usable_base` found no base.
     """
 
     __slots__ = (
@@ -25,21 +25,24 @@
         "_snapshots",
         "next_offset",
         "size_bytes",
-        "why_unusable",
+        "unusable_reason",
     )
 
     def __init__(self):
         self.next_offset = 0
-        self.why_unusable = ""
+        self.unusable_reason = ""
         self.restart(0)
 
     @property
     def end_offset(self):
-        """Offset behind the last record."""
+        """Offset after the last collected record."""
         return self._first_offset + len(self._records)
 
     def restart(self, first_offset):
-        """Drop all records; those before an offset expired while they were read."""
+        """Drop all records and start again from an offset.
+
+        Needed if records before this offset expire while the log is being read.
+        """
         self._first_offset = first_offset
         self._records = []
         self.size_bytes = 0
@@ -56,23 +59,31 @@
             if snapshot is not None:
                 self._snapshots.append(snapshot)
 
-    def after(self, offset):
-        """Return the records behind an offset."""
+    def records_after(self, offset):
+        """Return the records after an offset."""
         return self._records[offset + 1 - self._first_offset :]
 
     def usable_base(self, known_format, oldest):
-        """Return the `Fold` to start from, or None, which `why_unusable` explains.
+        """Return the `Fold` to start from.
 
         Parameters
         ----------
         known_format : int
-            Newest format that this program can read.
+            Newest record format that this program can read.
         oldest : bool
-            Start from the oldest usable snapshot instead of the newest.
+            Whether to start from the oldest usable snapshot instead of the newest.
+
+        Returns
+        -------
+        Fold or None
+            None if the log doesn't start at offset 0 and contains no usable snapshot;
+            `unusable_reason` gives the reason.
         """
         if self._first_offset == 0 and oldest:
             return Fold(known_format)
-        self.why_unusable = f"the log starts at {self._first_offset}, no snapshot fits"
+        self.unusable_reason = (
+            f"the log starts at {self._first_offset}, no snapshot fits"
+        )
         order = sorted(
             self._snapshots,
             key=lambda snapshot: snapshot.applied_offset,
@@ -84,5 +95,5 @@
             try:
                 return restore(snapshot, known_format)
             except RecordError as error:
-                self.why_unusable = str(error)
+                self.unusable_reason = str(error)
         return Fold(known_format) if self._first_offset == 0 else None
--- a/siskinthread/configuration/_consistency.py
+++ b/siskinthread/configuration/_consistency.py
@@ -1,24 +1,24 @@
-"""Rules that the whole of a configuration must meet; part of the record format."""
+"""Rules between the objects of a configuration; part of the record format."""
 
 from siskinthread.configuration._forms import Finding
 from siskinthread.configuration._objects import KINDS
 
 
 def find_inconsistencies(tables, changed_kinds=frozenset(KINDS)):
-    """Return what is wrong between the objects of a configuration.
+    """Return the inconsistencies between the objects of a configuration.
 
     Parameters
     ----------
-    tables : dict
-        By kind, a dict of objects by name.
+    tables : dict of dict
+        Objects by kind and name.
     changed_kinds : set of str
-        Kinds that differ from a configuration without any inconsistency; what
-        concerns none of them isn't checked again.
+        Kinds that differ from a consistent configuration.  Rules that involve none of
+        these kinds are not checked again.
 
     Returns
     -------
     list of Finding
-        In a fixed order; the path of each is kind, name and field.
+        In a fixed order; each path consists of kind, name and field.
     """
     findings = []
     if changed_kinds & {"groups", "services"}:
@@ -43,23 +43,26 @@
 
 
 def _check_models(tables, findings):
-    # Two services for one model would leave it to each entry which of them answers.
-    holders = {}
+    # With two services for one model, each entry could route its requests to a
+    # different service.
+    owners = {}
     for name, service in sorted(tables["services"].items()):
         for model in service.models:
-            _claim(holders, model, ("services", name, "models"), findings, "model")
+            _check_unique(
+                owners, model, ("services", name, "models"), findings, "model"
+            )
 
 
 def _check_key_digests(tables, findings):
-    # One key for two accounts would charge one account for the other's requests.
-    holders = {}
+    # A key shared by two accounts would charge one account for the other's requests.
+    owners = {}
     for name, account in sorted(tables["accounts"].items()):
         for digest in account.key_digests:
             path = ("accounts", name, "key_digests")
-            _claim(holders, digest, path, findings, "key digest")
+            _check_unique(owners, digest, path, findings, "key digest")
 
 
-def _claim(holders, item, path, findings, noun):
-    holder = holders.setdefault(item, path[1])
-    if holder != path[1]:
-        findings.append(Finding(path, f"{noun} {item!r} is in {holder!r} too"))
+def _check_unique(owners, item, path, findings, noun):
+    owner = owners.setdefault(item, path[1])
+    if owner != path[1]:
+        findings.append(Finding(path, f"{noun} {item!r} is in {owner!r} too"))
--- a/siskinthread/configuration/_exchange.py
+++ b/siskinthread/configuration/_exchange.py
@@ -1,4 +1,4 @@
-"""Getting records from peers, and answering theirs."""
+"""Exchange of records with peers."""
 
 from siskinthread.configuration._peers import is_whole_status, MergeOutcome, own_status
 from siskinthread.observability import part_logger
@@ -9,56 +9,62 @@
 
 
 class Peers:
-    """The peers that a process can ask; the daemons derive a class from it.
+    """Peers of a process; daemons with peers use a subclass.
 
-    This one stands for a process without peers, which reads the log itself.
+    The base class is for a process without peers, which reads the log itself.
     """
 
     __slots__ = ()
 
     def reads_log(self):
-        """Return whether this process reads the log for the others.
+        """Return whether this process is a reader of the log for its failure domain.
 
-        See `chosen_readers`; the hosts are those of its own failure domain.
+        See `chosen_readers`, called with the hosts of the own failure domain.
         """
         return True
 
     async def ask(self, request, starting):
-        """Send a `ConfigurationRequest`; return the `ConfigurationUpdate` answers.
+        """Send a `ConfigurationRequest` to peers and return their answers.
 
         Parameters
         ----------
         request : ConfigurationRequest
-            What to send.
+            Request to send.
         starting : bool
-            Whether to ask several peers, also of other failure domains, because the
-            log can't be read or this process starts; else one reader of the own domain
-            is enough.
+            Whether to ask several peers, including peers of other failure domains,
+            because the log can't be read or this process is starting.  Otherwise, one
+            reader of the own failure domain is enough.
+
+        Returns
+        -------
+        list of ConfigurationUpdate
+            Answers of the peers that responded.
 
         Notes
         -----
-        Takes a bounded time and raises nothing: peers that don't answer are left out.
+        Returns within a bounded time and raises no errors: peers that don't respond are
+        omitted.
         """
         return []
 
 
 class PeerExchange:
-    """The peers' side of a `LogFollower`.
+    """Exchanges records with peers on behalf of a `LogFollower`.
 
     Parameters
     ----------
     reader : LogReader
-        Its reader; the exchange runs in the same task.
+        Reader of the `LogFollower`; the exchange runs in the same task.
     peers : Peers
-        Whom to ask.
+        Peers to send requests to.
     view : ConfigurationView
-        Confirmed with what the peers know.
+        View whose state the peers' answers can confirm.
     settings : ConfigurationSettings
         Limits.
     clock : Clock
-        The process's clock.
+        Clock of the process.
     troubles : prometheus_client.Counter
-        Counts by ``condition``.
+        Counter with the label ``condition``.
     """
 
     __slots__ = ("_clock", "_peers", "_reader", "_settings", "_troubles", "_view")
@@ -72,23 +78,30 @@
         self._troubles = troubles
 
     def relies_on_peers(self):
-        """Return whether the log need not be read while peers confirm the state."""
+        """Return whether this process skips the log while peers confirm its state."""
         return self._view.state is not None and not self._peers.reads_log()
 
     def confirmed(self):
-        """Return whether the log was known to hold nothing newer a short time ago."""
+        """Return whether the state was confirmed within `peer_confirm_limit_s`."""
         age_ms = self._confirmed_age_ms()
         limit_s = self._settings.peer_confirm_limit_s
         return age_ms is not None and age_ms <= limit_s * MILLISECONDS_PER_SECOND
 
     async def ask(self, starting):
-        """Ask peers and fold what is new.
+        """Request records from peers and fold the new ones.
+
+        Parameters
+        ----------
+        starting : bool
+            As for `Peers.ask`.
 
         Returns
         -------
-        list of Merged
+        list of MergeResult
+            One result per complete answer.
         """
-        # Before the question is put: what a peer says of its age is older by then.
+        # Taken before the request: a peer computes its confirmed age later, so the
+        # derived confirmation time is never too recent.
         asked_at_ms = self._clock.unix_ms()
         request = ConfigurationRequest(own_status(self._reader.fold))
         updates = await self._peers.ask(request, starting)
@@ -96,14 +109,17 @@
         updates.sort(key=lambda update: update.status.applied_offset, reverse=True)
         merges = []
         for update in updates:
-            merged = await self._reader.take(update)
-            self._note(merged.outcome)
+            merged = await self._reader.merge_update(update)
+            self._record_outcome(merged.outcome)
             merges.append(merged)
         self._confirm(updates, asked_at_ms)
         return merges
 
     async def answer(self, request):
-        """Return the answer to a peer's `ConfigurationRequest`; for any task."""
+        """Return the answer to a peer's `ConfigurationRequest`.
+
+        May be called from any task.
+        """
         return await self._reader.answer(
             request, self._confirmed_age_ms(), self._settings.record_limit_bytes
         )
@@ -124,7 +140,7 @@
             return None
         return max(0, self._clock.unix_ms() - self._view.confirmed_at_ms)
 
-    def _note(self, outcome):
+    def _record_outcome(self, outcome):
         if outcome in (MergeOutcome.DIVERGED, MergeOutcome.UNREADABLE):
             self._troubles.labels(condition=f"peer_{outcome}").inc()
-            _LOG.error("A peer's configuration was not taken over: %s.", outcome)
+            _LOG.error("Rejected a configuration update from a peer: %s.", outcome)
--- a/siskinthread/configuration/_files.py
+++ b/siskinthread/configuration/_files.py
@@ -1,4 +1,4 @@
-"""Configuration files: checked field by field, with the place of every problem."""
+"""Reading of configuration files, with the position of every problem."""
 
 from siskinthread.configuration._consistency import find_inconsistencies
 from siskinthread.configuration._forms import Finding
@@ -8,7 +8,7 @@
 from siskinthread.documents import Place, Problem, read_document
 
 REMOVED = "removed"
-# What each selector of an object is matched against.
+# Kind of the objects that each selector field is matched against.
 _SELECTED_KINDS = {"accounts": "accounts", "hosts": "hosts", "services": "services"}
 
 
@@ -18,13 +18,13 @@
     Attributes
     ----------
     objects : list
-        The objects that could be read.
+        Valid objects.
     removed : list of tuple of str
-        Kind and name of the objects that are to be removed.
+        Kind and name of each object to remove.
     kinds : set of str
-        Kinds that the files list, also if the list is empty.
+        Kinds for which the files contain a list, even an empty list.
     problems : list of siskinthread.documents.Problem
-        Everything that is wrong, in the order of the files.
+        All problems, in the order of the files.
     """
 
     __slots__ = ("_places", "kinds", "objects", "problems", "removed")
@@ -49,22 +49,26 @@
         self.problems.extend(sorted(found, key=lambda problem: problem.place))
 
     def find_inconsistencies(self, tables):
-        """Return as problems what is wrong between objects.
+        """Return the inconsistencies between objects as problems.
 
         Parameters
         ----------
-        tables : dict
-            By kind, the objects by name that the files lead to.
+        tables : dict of dict
+            Objects by kind and name after the files are published.
+
+        Returns
+        -------
+        list of siskinthread.documents.Problem
         """
         return [self._problem(finding) for finding in find_inconsistencies(tables)]
 
-    def find_idle_selectors(self, tables):
+    def find_unmatched_selectors(self, tables):
         """Return a problem for each selector of the files that matches nothing."""
         return [
             self._problem(Finding((kind, name, field), message))
             for configured in self.objects
             for kind, name in [(kind_of(configured), configured.name)]
-            for field, message in _idle_selectors(configured, tables)
+            for field, message in _unmatched_selectors(configured, tables)
         ]
 
     def _read_kinds(self, document, findings):
@@ -90,21 +94,21 @@
             configured = read_object(kind, filled, path, findings)
             if configured is None:
                 continue
-            self._claim((kind, configured.name), path, document, findings)
+            self._register_place((kind, configured.name), path, document, findings)
             self.objects.append(configured)
 
     def _read_removed(self, items, document, findings):
         for index, item in enumerate(items):
             path = (REMOVED, index)
             kind, _, name = item.partition("/") if isinstance(item, str) else ("",) * 3
-            if kind not in KINDS or not NAME.fits(name):
+            if kind not in KINDS or not NAME.accepts(name):
                 message = f"{item!r} isn't of the form hosts/NAME"
                 findings.append(Finding(path, message))
                 continue
-            self._claim((kind, name), path, document, findings)
+            self._register_place((kind, name), path, document, findings)
             self.removed.append((kind, name))
 
-    def _claim(self, key, path, document, findings):
+    def _register_place(self, key, path, document, findings):
         if key in self._places:
             first, first_path = self._places[key]
             place = f"{first.source_name}:{first.place(first_path)}"
@@ -123,7 +127,7 @@
         return Problem(document.source_name, place, message)
 
 
-def _idle_selectors(configured, tables):
+def _unmatched_selectors(configured, tables):
     for field, kind in _SELECTED_KINDS.items():
         selector = getattr(configured, field, None)
         if not isinstance(selector, Selector):
--- a/siskinthread/configuration/_fold.py
+++ b/siskinthread/configuration/_fold.py
@@ -1,7 +1,7 @@
-"""The fold: from records in the order of the log to a state.
+"""The fold: computes the state from the records in log order.
 
-Every node folds the same records, so nothing here may depend on the node, its clock,
-its version of the program or the order of a set.
+Every node must compute the same state from the same records, so nothing here may depend
+on the node, its clock, its program version or the iteration order of a set.
 """
 
 import hashlib
@@ -23,11 +23,12 @@
 from siskinthread.configuration._verdict import AcceptedId, Status, Verdict
 from siskinthread.errors import InvariantError
 
-# An accepted id is forgotten only when it is both old and not among the newest ones.
-# With age alone, one forward jump of the log's clock would forget all of them.
+# An accepted id is dropped only if it is older than the lifetime and not among the
+# newest `IDS_KEPT` ids.  With the age alone, a forward jump of the log's clock would
+# drop all ids.
 ID_LIFETIME_MS = 3 * 24 * 3600 * 1000
 IDS_KEPT = 2000
-# Hexadecimal digits; the chain is in every message between peers.
+# Hexadecimal digits; kept short because every message between peers contains the chain.
 CHAIN_LENGTH = 32
 KINDS_OF_HOMES = frozenset({"hosts", "placements", "services"})
 
@@ -38,27 +39,28 @@
     Attributes
     ----------
     state : State
-        The state after the last accepted record.
+        State after the last accepted record.
     applied_offset : int
-        Offset of the last record that was folded, accepted or not; -1 before any.
+        Offset of the last folded record, accepted or not; -1 if there is none.
     applied_digest : str or None
-        Digest of that record as the log gave it; None after a snapshot was taken over.
+        `record_digest` of the record at `applied_offset`; None after restoring a
+        snapshot.
     chain : str
-        Digest over all records from the first one on; two nodes at one offset whose
-        chains differ read two different logs.
+        Chained digest of all records since the first.  Two nodes whose chains differ at
+        the same offset have read different logs.
     format_floor : int
         Newest record format that is accepted.
     halted_reason : str
-        Why no further record can be folded; empty while records can be.
+        Reason why no further record can be folded; empty unless halted.
     last_author, last_record_id : str
-        Of the last accepted record.
+        Author and id of the last accepted record.
     accepted_ids : dict of str to AcceptedId
-        Record ids that were accepted, oldest first.
+        Accepted record ids, oldest first.
 
     Parameters
     ----------
     known_format : int
-        Newest format that this program can read; tests of mixed versions set it.
+        Newest record format that this program can read; set by tests of mixed versions.
     """
 
     __slots__ = (
@@ -97,12 +99,13 @@
         Returns
         -------
         Verdict or None
-            None if the fold is halted, now or already; the record isn't folded then.
+            None if the fold is halted, already or by this record; the record isn't
+            folded then.
 
         Raises
         ------
         InvariantError
-            If another record than the next one is given.
+            If the record isn't the next one.
         """
         if record.offset != self.applied_offset + 1:
             raise InvariantError(
@@ -110,14 +113,14 @@
             )
         if self.halted_reason:
             return None
-        verdict = self._judge(record)
+        verdict = self._evaluate(record)
         if self.halted_reason:
             return None
-        self._step_to(record.offset, record_digest(record))
+        self._advance_to(record.offset, record_digest(record))
         return verdict
 
     def skip(self, offset, digest):
-        """Go past a part of a snapshot, whose body a peer left out.
+        """Advance past a part of a snapshot whose body a peer omitted.
 
         Parameters
         ----------
@@ -126,37 +129,37 @@
         digest : str
             Its `record_digest`.
         """
-        self._step_to(offset, digest)
+        self._advance_to(offset, digest)
 
-    def _step_to(self, offset, digest):
+    def _advance_to(self, offset, digest):
         self.applied_offset = offset
         self.applied_digest = digest
-        self.chain = _chained(self.chain, digest)
+        self.chain = _extend_chain(self.chain, digest)
 
-    def _judge(self, record):
+    def _evaluate(self, record):
         try:
             value = decode_body(record.body)
             format_version, kind = read_format(value)
-            # Judged by the number alone and before anything else is read: whether this
-            # program happens to know the format must make no difference, or nodes of
-            # two versions would fold the record differently.
+            # Compared with the floor before anything else is read, whether or not this
+            # program knows the format.  Otherwise, nodes with different program
+            # versions would fold the record differently.
             if format_version > self.format_floor:
                 reason = f"format {format_version} is above {self.format_floor}"
                 return _verdict(Status.FORMAT_ABOVE_FLOOR, record, reason)
             if kind == "snapshot":
                 return _verdict(Status.SNAPSHOT, record)
             if kind == "change":
-                return self._judge_change(record, read_change(value))
+                return self._evaluate_change(record, read_change(value))
             if kind == "floor":
-                return self._judge_floor(record, read_floor(value))
+                return self._evaluate_floor(record, read_floor(value))
         except RecordError as error:
             return _verdict(Status.INVALID, record, str(error))
         return _verdict(Status.INVALID, record, f"kind {kind!r} is unknown")
 
-    def _judge_change(self, record, change):
-        refusal = self._refuse_stale(record, change)
-        if refusal is not None:
-            return refusal
+    def _evaluate_change(self, record, change):
+        rejection = self._reject_stale(record, change)
+        if rejection is not None:
+            return rejection
         tables, problems = changed_tables(self.state, change)
         if not problems:
             findings = find_inconsistencies(tables, _changed_kinds(change))
@@ -166,16 +169,17 @@
         self.state = self._next_state(record, change, tables)
         return self._accept(record, change)
 
-    def _judge_floor(self, record, change):
-        refusal = self._refuse_stale(record, change)
-        if refusal is not None:
-            return refusal
+    def _evaluate_floor(self, record, change):
+        rejection = self._reject_stale(record, change)
+        if rejection is not None:
+            return rejection
         if change.format_floor != self.format_floor + 1:
             reason = f"format_floor must be {self.format_floor + 1}"
             return _verdict(Status.INVALID, record, reason, change)
         if change.format_floor > self.known_format:
-            # From here on records may mean what this program can't know.  Folding on
-            # would make a state that no other node has; the last one stays in force.
+            # This program can't interpret records of the new format.  If it continued,
+            # its state would differ from that of all other nodes, so the last state
+            # stays in force.
             self.halted_reason = (
                 f"record {record.offset} raises the format to {change.format_floor}; "
                 f"this program knows {self.known_format}"
@@ -189,7 +193,7 @@
         )
         return self._accept(record, change)
 
-    def _refuse_stale(self, record, change):
+    def _reject_stale(self, record, change):
         accepted = self.accepted_ids.get(change.record_id)
         if accepted is not None:
             reason = f"id {change.record_id!r} was accepted at {accepted.offset}"
@@ -232,14 +236,14 @@
 
 
 def changed_tables(state, change):
-    """Return the objects by kind and name after a change, and what doesn't fit.
+    """Return the objects by kind and name after a change, and its problems.
 
     Returns
     -------
     tables : dict of dict
         Objects by kind and name.
     problems : list of str
-        Removed objects that don't exist.
+        One message per removed object that doesn't exist.
     """
     tables = {kind: dict(getattr(state, kind)) for kind in KINDS}
     problems = []
@@ -252,13 +256,13 @@
 
 
 def record_digest(record):
-    """Return a digest of a record as the log gave it."""
+    """Return the digest of a record's offset, time and body."""
     digest = hashlib.sha256(f"{record.offset} {record.at_ms} ".encode())
     digest.update(record.body)
     return digest.hexdigest()
 
 
-def _chained(chain, digest):
+def _extend_chain(chain, digest):
     return hashlib.sha256(f"{chain} {digest}".encode()).hexdigest()[:CHAIN_LENGTH]
 
 
--- a/siskinthread/configuration/_follower.py
+++ b/siskinthread/configuration/_follower.py
@@ -1,4 +1,4 @@
-"""The task that keeps a process's view of the configuration up to date."""
+"""Task that follows the configuration stream and updates the view of a process."""
 
 import random as random_module
 
@@ -38,28 +38,28 @@
     client : siskinthread.shared_services.LogClient
         Client of the log.
     view : ConfigurationView
-        Advanced with each accepted record; it stays without a state until a
-        configuration was published.
+        Advanced with each accepted record; has no state until a configuration is
+        published.
     settings : siskinthread.shared_services.PlatformSettings
-        Stream and waits.
+        Name of the stream, and waits.
     clock : Clock
-        The process's clock.
+        Clock of the process.
     metrics : siskinthread.observability.Metrics
-        Where version, offset, verdicts and troubles are counted.
+        Registry for the version, the offset and the counters.
     configuration : ConfigurationSettings or None
-        Snapshots and back-off; the defaults if None.
+        Snapshots and back-off; None for the defaults.
     random : random.Random or None
         Source of the jitter.
     known_format : int
-        Newest record format that this program can read; for tests of mixed versions.
+        Newest record format that this program can read; set by tests of mixed versions.
     peers : Peers or None
-        Processes to ask for records; None to read the log alone.
+        Processes to request records from; None to use only the log.
 
     Notes
     -----
-    In an outage the last state stays in force and the log is tried again with a
+    During an outage the last state stays in force, and reads are retried with a
     jittered back-off.  A shortened or rewritten log, a gap and a newer format are
-    logged once, counted, and never lower the state.
+    logged once and counted, and the version of the state never decreases.
     """
     follower = LogFollower(
         client,
@@ -78,7 +78,7 @@
 class LogFollower:
     """Reads the log, advances the view and writes snapshots.
 
-    The parameters are those of `follow_log`.
+    See `follow_log` for the parameters.
     """
 
     __slots__ = (
@@ -92,7 +92,7 @@
         "_schedule",
         "_settings",
         "_snapshots",
-        "_trouble",
+        "_condition",
         "_troubles",
         "_verdicts",
         "_view",
@@ -121,7 +121,7 @@
         self._reader = LogReader(client, stream, known_format)
         self._schedule = SnapshotSchedule(configuration, clock, random)
         self._backoff = Backoff(configuration, random)
-        self._trouble = None
+        self._condition = None
         self._gauges = {
             "version": metrics.gauge(
                 "configuration_version", "Version of the configuration in force."
@@ -152,7 +152,7 @@
 
     @property
     def applied_offset(self):
-        """Last record that was folded; None before the first."""
+        """Offset of the last folded record; None before the first read."""
         return None if self._reader.fold is None else self._reader.fold.applied_offset
 
     async def run(self):
@@ -165,22 +165,22 @@
         return await self._exchange.answer(request)
 
     async def ask_peers(self):
-        """Ask a peer now, whether or not this process reads the log."""
+        """Ask a reader for records now, even if this process reads the log itself."""
         await self._ask_peers(starting=False)
 
     async def step(self):
-        """Follow the log or the peers once; return the pause, seconds."""
+        """Read the log or ask the peers once and return the pause, in seconds."""
         if self._exchange.relies_on_peers():
             await self._ask_peers(starting=False)
             if self._exchange.confirmed():
                 return self._configuration.peer_interval_s
-        # The answer holds all that was appended before the question was put.
+        # The answer contains all records that were appended before the read was sent.
         asked_at_ms = self._clock.unix_ms()
         try:
             reading = await self._reader.read_on(self._poll_wait_s())
             if reading.condition is not Condition.GOOD:
                 return await self._retry(reading.condition, reading.detail, reading)
-            await self._take_good(reading, asked_at_ms)
+            await self._apply_reading(reading, asked_at_ms)
             await self._write_snapshot_if_due()
         except PlatformUnavailableError as error:
             return await self._retry("unavailable", str(error))
@@ -188,16 +188,17 @@
         return IDLE_PAUSE_S if idle else 0.0
 
     def _poll_wait_s(self):
-        # A process that asks peers reads the log only to see whether it's behind.
+        # A process that relies on peers reads the log only to detect whether its state
+        # is out of date, so it doesn't wait for records.
         relies = self._exchange.relies_on_peers()
         return 0.0 if relies else self._settings.log_poll_wait_s
 
-    async def _take_good(self, reading, asked_at_ms):
-        self._note_recovery()
-        self._note_reading(reading)
+    async def _apply_reading(self, reading, asked_at_ms):
+        self._report_recovery()
+        self._record_reading(reading)
         if self._view.state is None:
-            # The log may have lost its tail while this process was not there to notice.
-            # A peer that runs still has what was in force.
+            # The log may have lost its tail while this process wasn't running.  Running
+            # peers still have the state that was in force.
             await self._ask_peers(starting=True)
         fold = self._reader.fold
         self._advance(fold)
@@ -205,9 +206,9 @@
             self._view.confirm(asked_at_ms)
 
     async def _retry(self, condition, detail, reading=None):
-        self._note_trouble(condition, detail)
+        self._report_trouble(condition, detail)
         if reading is not None and self._reader.fold is not None:
-            self._note_reading(reading)
+            self._record_reading(reading)
             self._advance(self._reader.fold)
         await self._ask_peers(starting=True)
         return self._backoff.next_wait_s()
@@ -221,18 +222,18 @@
                 self._schedule.note_unknown_base()
             self._advance(merged.fold)
 
-    def _note_reading(self, reading):
+    def _record_reading(self, reading):
         for verdict in reading.verdicts:
             self._verdicts.labels(status=verdict.status.value).inc()
         for offset in reading.diverged_offsets:
             self._troubles.labels(condition="diverged").inc()
-            _LOG.error("The snapshot at %d differs from the state here.", offset)
+            _LOG.error("The snapshot at %d differs from the local state.", offset)
         self._schedule.note(reading.records, self._reader.base_offset)
 
     def _advance(self, fold):
         self._gauges["offset"].set(fold.applied_offset)
-        # A process that starts behind a record it can't read must not serve an older
-        # configuration than the others have; one that runs keeps what it has.
+        # A starting process that halts at a record must not serve an older
+        # configuration than the other nodes; a running process keeps its state.
         starts_too_old = fold.halted_reason and self._view.state is None
         if fold.state.version < 0 or starts_too_old:
             return
@@ -246,23 +247,23 @@
         if not self._schedule.due():
             return
         limit = self._configuration.record_limit_bytes
-        # Encoding a large state takes tens of milliseconds, which would delay the
-        # heartbeats of every connection.
+        # Runs in a thread: encoding a large state takes tens of milliseconds, which
+        # would delay the heartbeats of every connection.
         bodies = await curio.run_in_thread(encode_snapshot, self._reader.fold, limit)
         for body in bodies:
             await self._client.append(self._settings.configuration_stream, body)
         self._schedule.put_off()
         self._snapshots.inc()
-        _LOG.info("A snapshot was written in %d records.", len(bodies))
+        _LOG.info("Wrote a snapshot in %d records.", len(bodies))
 
-    def _note_trouble(self, condition, detail):
+    def _report_trouble(self, condition, detail):
         self._troubles.labels(condition=str(condition)).inc()
-        if self._trouble != condition:
-            self._trouble = condition
-            _LOG.error("The log can't be followed (%s): %s.", condition, detail)
+        if self._condition != condition:
+            self._condition = condition
+            _LOG.error("Can't follow the log (%s): %s.", condition, detail)
 
-    def _note_recovery(self):
+    def _report_recovery(self):
         self._backoff.reset()
-        if self._trouble is not None:
-            _LOG.info("The log can be followed again after %s.", self._trouble)
-            self._trouble = None
+        if self._condition is not None:
+            _LOG.info("Following the log again after condition %s.", self._condition)
+            self._condition = None
--- a/siskinthread/configuration/_forms.py
+++ b/siskinthread/configuration/_forms.py
@@ -1,8 +1,8 @@
-"""Forms of single values, and how a JSON value is read against its form.
+"""Forms: types that validate and convert single JSON values.
 
-What a form accepts is part of the record format: two versions that judged one value
-differently would fold one log to different states.  A change here needs a new format
-version (``docs/design/configuration.md``).
+The values that a form accepts are part of the record format: two program versions that
+validate a value differently would fold the same log to different states.  A change here
+requires a new format version (``docs/design/configuration.md``).
 """
 
 import functools
@@ -17,14 +17,14 @@
 
 
 class Finding:
-    """Something wrong with one value.
+    """A problem with one value.
 
     Parameters
     ----------
     path : tuple
         Keys and indices that lead to the value.
     message : str
-        What is wrong with it.
+        Description of the problem.
     """
 
     __slots__ = ("message", "path")
@@ -39,7 +39,7 @@
 
 
 class Text:
-    """A string that a pattern matches whole."""
+    """A string that fully matches a regular expression."""
 
     __slots__ = ("_pattern", "example")
 
@@ -47,22 +47,22 @@
         self._pattern = re.compile(pattern)
         self.example = example
 
-    def fits(self, value):
-        """Return whether a value is such a string."""
+    def accepts(self, value):
+        """Return whether a value is a string that matches the pattern."""
         return isinstance(value, str) and bool(self._pattern.fullmatch(value))
 
 
-class Word:
-    """One of several words."""
+class OneOf:
+    """A string out of a fixed set."""
 
-    __slots__ = ("words",)
+    __slots__ = ("options",)
 
-    def __init__(self, *words):
-        self.words = words
+    def __init__(self, *options):
+        self.options = options
 
 
 class Number:
-    """A number between two bounds; `above_zero` excludes zero itself."""
+    """A number between two inclusive bounds; `above_zero` excludes zero."""
 
     __slots__ = ("above_zero", "maximum", "minimum")
 
@@ -72,8 +72,8 @@
         self.above_zero = above_zero
 
 
-class Whole:
-    """A whole number between two bounds."""
+class Integer:
+    """An integer between two inclusive bounds."""
 
     __slots__ = ("maximum", "minimum")
 
@@ -82,14 +82,14 @@
         self.maximum = maximum
 
 
-class Flag:
-    """True or false."""
+class Boolean:
+    """A boolean."""
 
     __slots__ = ()
 
 
 class ListOf:
-    """A list without repeated items, each of one form."""
+    """A list of items of the same form, without repeated items."""
 
     __slots__ = ("item_form", "limit")
 
@@ -99,7 +99,7 @@
 
 
 class Labels:
-    """A dict of labels."""
+    """A dict of label keys to label values."""
 
     __slots__ = ()
 
@@ -111,87 +111,92 @@
 
 
 class Window:
-    """Two minutes of the UTC day, from and to; it may span midnight."""
+    """Start and end minute of a window of the UTC day; it may span midnight."""
 
     __slots__ = ()
 
 
 @functools.singledispatch
 def read_value(form, value, path, findings):
-    """Read a JSON value against its form.
+    """Validate a JSON value and convert it.
 
     Parameters
     ----------
     form : object
-        One of the classes of this module.
+        Instance of one of the form classes of this module.
     value : object
         Plain JSON value.
     path : tuple
-        Where the value stands.
+        Keys and indices that lead to the value.
     findings : list of Finding
-        What is wrong is added here.
+        Problems are appended to this list.
 
     Returns
     -------
     object
-        The value in the form that objects hold; None if it doesn't fit.
+        Value as stored in configuration objects; None if it is invalid.
+
+    Raises
+    ------
+    TypeError
+        If `form` isn't a known form.
     """
     raise TypeError(f"unknown form {form!r}")
 
 
 @read_value.register
 def _(form: Text, value, path, findings):
-    if form.fits(value):
+    if form.accepts(value):
         return value
-    return _refuse(findings, path, f"{value!r} isn't a value such as {form.example!r}")
+    return _reject(findings, path, f"{value!r} isn't a value such as {form.example!r}")
 
 
 @read_value.register
-def _(form: Word, value, path, findings):
-    if isinstance(value, str) and value in form.words:
+def _(form: OneOf, value, path, findings):
+    if isinstance(value, str) and value in form.options:
         return value
-    return _refuse(findings, path, f"{value!r} is none of {', '.join(form.words)}")
+    return _reject(findings, path, f"{value!r} is none of {', '.join(form.options)}")
 
 
 @read_value.register
 def _(form: Number, value, path, findings):
     if isinstance(value, bool) or not isinstance(value, int | float):
-        return _refuse(findings, path, f"{value!r} is no number")
+        return _reject(findings, path, f"{value!r} is no number")
     if not form.minimum <= value <= form.maximum:
         bounds = f"{form.minimum} to {form.maximum}"
-        return _refuse(findings, path, f"{value!r} is outside {bounds}")
+        return _reject(findings, path, f"{value!r} is outside {bounds}")
     if form.above_zero and value == 0:
-        return _refuse(findings, path, "must be above zero")
+        return _reject(findings, path, "must be above zero")
     return float(value)
 
 
 @read_value.register
-def _(form: Whole, value, path, findings):
+def _(form: Integer, value, path, findings):
     if isinstance(value, bool) or not isinstance(value, int):
-        return _refuse(findings, path, f"{value!r} is no whole number")
+        return _reject(findings, path, f"{value!r} is no whole number")
     if not form.minimum <= value <= form.maximum:
         bounds = f"{form.minimum} to {form.maximum}"
-        return _refuse(findings, path, f"{value!r} is outside {bounds}")
+        return _reject(findings, path, f"{value!r} is outside {bounds}")
     return value
 
 
 @read_value.register
-def _(form: Flag, value, path, findings):
+def _(form: Boolean, value, path, findings):
     if isinstance(value, bool):
         return value
-    return _refuse(findings, path, f"{value!r} is neither true nor false")
+    return _reject(findings, path, f"{value!r} is neither true nor false")
 
 
 @read_value.register
 def _(form: ListOf, value, path, findings):
     if not isinstance(value, list):
-        return _refuse(findings, path, f"{value!r} is no list")
+        return _reject(findings, path, f"{value!r} is no list")
     if len(value) > form.limit:
-        return _refuse(findings, path, f"more than {form.limit} items")
+        return _reject(findings, path, f"more than {form.limit} items")
     items = []
     for index, item in enumerate(value):
         if item in value[:index]:
-            _refuse(findings, (*path, index), f"{item!r} is repeated")
+            _reject(findings, (*path, index), f"{item!r} is repeated")
         items.append(read_value(form.item_form, item, (*path, index), findings))
     return items
 
@@ -199,12 +204,12 @@
 @read_value.register
 def _(form: Labels, value, path, findings):
     if not isinstance(value, dict):
-        return _refuse(findings, path, f"{value!r} is no dict of labels")
+        return _reject(findings, path, f"{value!r} is no dict of labels")
     if len(value) > LABELS_LIMIT:
-        return _refuse(findings, path, f"more than {LABELS_LIMIT} labels")
+        return _reject(findings, path, f"more than {LABELS_LIMIT} labels")
     for key, label in value.items():
-        if not _LABEL_KEY.fits(key):
-            _refuse(findings, (*path, key), f"{key!r} is no label key")
+        if not _LABEL_KEY.accepts(key):
+            _reject(findings, (*path, key), f"{key!r} is no label key")
         read_value(_LABEL_VALUE, label, (*path, key), findings)
     return dict(sorted(value.items()))
 
@@ -212,26 +217,26 @@
 @read_value.register
 def _(form: SelectorText, value, path, findings):
     if not isinstance(value, str) or len(value) > SELECTOR_LIMIT:
-        return _refuse(findings, path, "a selector is a text such as 'zone in (a,b)'")
+        return _reject(findings, path, "a selector is a text such as 'zone in (a,b)'")
     try:
         return Selector(value)
     except ValueError as error:
-        return _refuse(findings, path, f"selector: {error}")
+        return _reject(findings, path, f"selector: {error}")
 
 
 @read_value.register
 def _(form: Window, value, path, findings):
     if not isinstance(value, list) or len(value) != 2 or value[0] == value[1]:
-        return _refuse(findings, path, "a window is [from, to], minutes of the UTC day")
+        return _reject(findings, path, "a window is [from, to], minutes of the UTC day")
     for index, minute in enumerate(value):
         read_value(_MINUTE, minute, (*path, index), findings)
     return tuple(value)
 
 
-def _refuse(findings, path, message):
+def _reject(findings, path, message):
     findings.append(Finding(path, message))
 
 
 _LABEL_KEY = Text(LABEL_KEY_PATTERN, "zone")
 _LABEL_VALUE = Text(LABEL_VALUE_PATTERN, "trondheim-a")
-_MINUTE = Whole(0, MINUTES_PER_DAY)
+_MINUTE = Integer(0, MINUTES_PER_DAY)
--- a/siskinthread/configuration/_names.py
+++ b/siskinthread/configuration/_names.py
@@ -1,4 +1,4 @@
-"""Forms and limits of names, labels and times; they are part of the record format."""
+"""Patterns of names and labels, and the lifetime limit; part of the record format."""
 
 NAME_PATTERN = r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}"
 LABEL_KEY_PATTERN = r"[A-Za-z0-9][A-Za-z0-9._/-]{0,127}"
--- a/siskinthread/configuration/_objects.py
+++ b/siskinthread/configuration/_objects.py
@@ -1,12 +1,12 @@
-"""The labelled objects that operators publish.
+"""Labelled objects that operators publish.
 
-Every object has a ``name``, unique within its kind, and ``labels``, a dict of str to
-str.  Instances are not changed once built.
+Each object has a ``name``, unique within its kind, and ``labels``, a dict of str to
+str.  Instances are not modified after construction.
 """
 
 
 class Host:
-    """A host, named as in the host list; configuration gives it labels only."""
+    """A host, named as in the host list; the configuration defines only its labels."""
 
     __slots__ = ("labels", "name")
 
@@ -21,17 +21,18 @@
     Parameters
     ----------
     name : str
-        Name; plain services are called under ``/services/NAME/``.
+        Name; the path of a plain service starts with ``/services/NAME/``.
     labels : dict of str to str
         Labels.
     kind : str
         "engine" or "plain".
     models : list of str
-        Models that an engine service answers for.
+        Models that an engine service serves.
     idempotent_methods : list of str
-        HTTP methods that may be repeated unless the caller says otherwise.
+        HTTP methods that may be retried unless the caller specifies otherwise.
     lifetime_limit_s : float
-        Longest time between the first issue of an idempotency key and its last retry.
+        Maximum time between the first issue of an idempotency key and its last retry,
+        in seconds.
     """
 
     __slots__ = (
@@ -68,15 +69,15 @@
     name, labels
         As for every object.
     service : str
-        Engine service that the group answers for.
+        Engine service that the group serves.
     hosts : Selector
         Hosts whose ranks form the group.
     checks_fencing : bool
-        Whether its engines refuse an order with an old fencing number.
+        Whether the engines reject an order with an outdated fencing number.
     skew_weight, cost_weight : float
         Weights of the rebalancing objective.
     quiet_windows : list of tuple of int
-        Minutes of the UTC day, from and to, within which no expert is moved.
+        Windows in which no expert is moved, as start and end minute of the UTC day.
     """
 
     __slots__ = (
@@ -119,7 +120,8 @@
     name, labels
         As for every object.
     key_digests : list of str
-        SHA-256 of each valid bearer key, in hexadecimal; two while keys rotate.
+        Hexadecimal SHA-256 digest of each valid bearer key; two digests during a key
+        rotation.
     """
 
     __slots__ = ("key_digests", "labels", "name")
@@ -131,16 +133,16 @@
 
 
 class Placement:
-    """Which hosts serve which services.
+    """Assigns services to hosts.
 
     Parameters
     ----------
     name, labels
         As for every object.
     services : Selector
-        Services that are placed, by label.
+        Labels of the services.
     hosts : Selector
-        Hosts that serve them, by label.
+        Labels of the hosts that serve these services.
     """
 
     __slots__ = ("hosts", "labels", "name", "services")
@@ -153,16 +155,16 @@
 
 
 class Policy:
-    """Which accounts may use which services, where, and how urgently.
+    """Allows accounts to use services on hosts, with a priority.
 
     Parameters
     ----------
     name, labels
         As for every object.
     accounts, services, hosts : Selector
-        Whose requests, to what, may run where.
+        Requests of these accounts to these services may run on these hosts.
     priority : int
-        0 is the most urgent; the most urgent matching policy counts.
+        0 is the most urgent; if several policies match, the most urgent applies.
     """
 
     __slots__ = ("accounts", "hosts", "labels", "name", "priority", "services")
@@ -177,18 +179,18 @@
 
 
 class Limits:
-    """Limits of the accounts that a selector matches, each account for itself.
+    """Rate limits of the accounts that a selector matches, applied per account.
 
     Parameters
     ----------
     name, labels
         As for every object.
     accounts : Selector
-        Accounts under the limits.
+        Accounts that the limits apply to.
     requests_per_s, tokens_per_s : float
-        Steady rates over all entry hosts together.
+        Sustained rates, summed over all entry hosts.
     burst_s : float
-        Seconds' worth of the rate that an idle account may use at once.
+        Burst size of an idle account, as seconds of the sustained rate.
     """
 
     __slots__ = (
@@ -211,7 +213,7 @@
         self.burst_s = burst_s
 
 
-# The kinds by the name of their list in files and records.
+# Classes by the name of their kind, which is the key of a list in files and records.
 KINDS = {
     "hosts": Host,
     "services": Service,
--- a/siskinthread/configuration/_operations.py
+++ b/siskinthread/configuration/_operations.py
@@ -1,4 +1,4 @@
-"""What the operators' commands do; each returns a value that ``_reports`` shows."""
+"""Operations of the operators' commands; ``_reports`` renders their results."""
 
 import re
 
@@ -12,11 +12,11 @@
     publication_id,
 )
 from siskinthread.configuration._publisher import (
-    LostConflict,
-    NotKnown,
+    Conflict,
+    OutcomeUnknown,
     Published,
     Publisher,
-    Refused,
+    Rejected,
 )
 from siskinthread.configuration._reader import LogReader
 from siskinthread.configuration._reading import Condition
@@ -27,20 +27,21 @@
 
 
 class PublishRequest:
-    """What an operator asks to publish.
+    """An operator's request to publish files.
 
     Parameters
     ----------
     files : ConfigurationFiles
-        The files.
+        Files to publish.
     replace : bool
         Whether kinds that the files list are replaced as a whole.
     author, message : str
-        Who publishes, and why.
+        Author of the change, and its reason.
     name : str or None
-        The operator's own name of the publication; at most one is accepted under it.
+        Name that the operator gives to the publication; at most one publication is
+        accepted per name.
     expected_version : int or None
-        Version that the files were made for; None for the one in force.
+        Version that the files are based on; None for the version in force.
     """
 
     __slots__ = ("author", "expected_version", "files", "message", "name", "replace")
@@ -55,7 +56,7 @@
 
 
 class InForce:
-    """The files change nothing; the version is in force as they say."""
+    """The files change nothing: the version in force already matches them."""
 
     __slots__ = ("version",)
 
@@ -64,14 +65,14 @@
 
 
 class Superseded:
-    """The files were published before, and something in them was changed since.
+    """The files were published before, and a later version changed their content.
 
     Parameters
     ----------
     published_version, version : int
-        Version that the files made, and the one in force.
+        Version created from the files, and version in force.
     author : str
-        Of the version in force.
+        Author of the version in force.
     """
 
     __slots__ = ("author", "published_version", "version")
@@ -83,14 +84,14 @@
 
 
 class Publication:
-    """Outcome of a publication, and what the operator should know about it.
+    """Outcome of a publication, with warnings for the operator.
 
     Parameters
     ----------
-    outcome : Published, InForce, Superseded, LostConflict, Refused or NotKnown
-        What became of it.
+    outcome : Published, InForce, Superseded, Conflict, Rejected or OutcomeUnknown
+        Outcome.
     warnings : list of str
-        For people.
+        Human-readable warnings.
     """
 
     __slots__ = ("outcome", "warnings")
@@ -101,14 +102,14 @@
 
 
 class PublishedLog:
-    """What the log holds.
+    """Content of the log.
 
     Parameters
     ----------
     fold : Fold
-        The fold of all of it.
+        Fold of all records.
     verdicts : list of Verdict
-        Of the records behind the snapshot that the fold started from.
+        Verdicts on the records after the snapshot that the fold started from.
     """
 
     __slots__ = ("fold", "verdicts")
@@ -145,7 +146,7 @@
 
 
 async def publish(client, settings, request, deadline, random):
-    """Publish files so that a repeated run can't publish them twice.
+    """Publish files; a repeated run doesn't publish them twice.
 
     Returns
     -------
@@ -154,15 +155,15 @@
     Raises
     ------
     DocumentError
-        If the published state and the files together make no valid configuration.
+        If the files applied to the published state give an inconsistent configuration.
     """
     if request.name is not None and not _NAME.fullmatch(request.name):
         reason = f"the id {request.name!r} isn't of the form change-4711"
-        return Publication(Refused(reason))
+        return Publication(Rejected(reason))
     try:
         published = await read_published(client, settings, deadline, random)
     except PlatformUnavailableError as error:
-        return Publication(NotKnown(request.name or "", False, str(error)))
+        return Publication(OutcomeUnknown(request.name or "", False, str(error)))
     fold = published.fold
     plan = make_plan(request.files, fold.state, request.replace)
     record_id = _record_id(request, fold.state.version)
@@ -179,7 +180,13 @@
 
 
 def check_consistency(files, state, replace):
-    """Return the objects that files lead to, or raise DocumentError if invalid."""
+    """Return the objects by kind and name after files are published.
+
+    Raises
+    ------
+    DocumentError
+        If these objects are inconsistent.
+    """
     tables = planned_tables(files, state, replace)
     problems = files.find_inconsistencies(tables)
     if problems:
@@ -188,8 +195,9 @@
 
 
 def _record_id(request, version):
-    # The operator's name, or else the version that the files are published upon, and
-    # what they say: a run that crashed and its repetition make one and the same id.
+    # Built from the operator's name, or else the version that the files are based on,
+    # and a digest of the content, so that a repetition of a crashed run gets the same
+    # id.
     if request.name is not None:
         name = request.name
     elif request.expected_version is not None:
@@ -201,7 +209,7 @@
 
 
 def _find_earlier(request, fold, plan, record_id):
-    """Return the outcome if the log already tells it, or None."""
+    """Return the outcome if the log already determines it, or None."""
     accepted = fold.accepted_ids.get(record_id)
     if accepted is not None:
         return Published(accepted.offset, earlier=True)
@@ -216,7 +224,7 @@
     prefix = f"{request.name}{ID_SEPARATOR}"
     for record_id, accepted in fold.accepted_ids.items():
         if record_id.startswith(prefix):
-            return Refused(
+            return Rejected(
                 f"the id {request.name!r} was used for other content, version "
                 f"{accepted.offset}"
             )
@@ -224,8 +232,8 @@
 
 
 def _find_superseded(record_id, fold):
-    # The files were published and overwritten since.  An operator who repeats a run
-    # that crashed must not undo the newer change by it.
+    # The files were published and later overwritten.  Repeating a crashed run must not
+    # undo the newer change.
     content = record_id.rpartition(ID_SEPARATOR)[2]
     suffix = f"{ID_SEPARATOR}{content}"
     for other, accepted in reversed(fold.accepted_ids.items()):
@@ -238,7 +246,7 @@
 def _find_stale(request, fold, plan):
     version, expected = fold.state.version, request.expected_version
     if expected is not None and expected < version:
-        return LostConflict(version, fold.last_author, fold.last_record_id)
+        return Conflict(version, fold.last_author, fold.last_record_id)
     if expected is not None and expected > version:
-        return Refused(f"version {version} is in force, {expected} is yet to come")
+        return Rejected(f"version {version} is in force, {expected} is yet to come")
     return InForce(version) if plan.is_empty() else None
--- a/siskinthread/configuration/_operators.py
+++ b/siskinthread/configuration/_operators.py
@@ -1,4 +1,4 @@
-"""Entry points of the operators' commands: settings and files in, a report out."""
+"""Entry points of the operators' commands, which return reports."""
 
 import random
 
@@ -29,12 +29,12 @@
 
 
 def read_files(texts):
-    """Return `ConfigurationFiles` of pairs of text and file name.
+    """Return the `ConfigurationFiles` of pairs of text and file name.
 
     Raises
     ------
     DocumentError
-        With every problem of all files.
+        Lists the problems of all files.
     """
     files = ConfigurationFiles()
     for text, source_name in texts:
@@ -45,15 +45,15 @@
 
 
 def check_files(texts, settings, replace):
-    """Return the report of a check of files.
+    """Check files and return the `Report`.
 
     Parameters
     ----------
     texts : list of tuple of str
         Pairs of text and file name.
     settings : OperatorSettings or None
-        The log whose state the files are checked with; None to check them as a whole
-        configuration of their own.
+        Access to the log whose state the files are checked against; None to check the
+        files as a complete configuration.
     replace : bool
         As for `make_plan`.
     """
@@ -61,16 +61,17 @@
     for text, source_name in texts:
         files.add(text, source_name)
     if files.problems:
-        # What can't be read would make half of the following checks wrong.
+        # Objects that could not be read would cause spurious findings in the checks
+        # below.
         return report_check(files.problems, [])
     state = State(-1, []) if settings is None else _fold(settings).state
     tables = planned_tables(files, state, replace)
     problems = files.find_inconsistencies(tables)
-    return report_check(problems, files.find_idle_selectors(tables))
+    return report_check(problems, files.find_unmatched_selectors(tables))
 
 
 def diff_files(texts, settings, replace):
-    """Return the report of what files would change."""
+    """Return the `Report` of the changes that files would make."""
     files = read_files(texts)
     state = _fold(settings).state
     tables = check_consistency(files, state, replace)
@@ -79,18 +80,18 @@
 
 
 def publish_files(settings, request):
-    """Publish; return the report of the outcome."""
+    """Publish files and return the `Report` of the outcome."""
     publication = _run(settings, publish, request)
     return report_outcome(publication.outcome).with_warnings(publication.warnings)
 
 
 def show_state(settings, kind, name):
-    """Return the report of the published state."""
+    """Return the `Report` of the published state."""
     return report_state(_fold(settings), kind, name)
 
 
 def show_history(settings, last, record_id):
-    """Return the report of the last records, or of those with one id."""
+    """Return the `Report` of the last records, or of the last ones with an id."""
     verdicts = _run(settings, _read_history).verdicts
     if record_id is not None:
         verdicts = [
--- a/siskinthread/configuration/_peers.py
+++ b/siskinthread/configuration/_peers.py
@@ -1,7 +1,7 @@
-"""Passing records between processes, so that few of them have to read the log.
+"""Distribution of records between processes, so that few processes read the log.
 
-Plain functions over the messages of ``thrift/frames.thrift``; who asks whom, and over
-which connection, is the caller's business.
+Functions on the messages of ``thrift/frames.thrift``; the caller selects the peers and
+sends the messages.
 """
 
 import collections
@@ -30,25 +30,25 @@
 
 
 class MergeOutcome(enum.StrEnum):
-    """What became of a peer's update."""
+    """Outcome of merging a peer's update."""
 
     ADVANCED = "advanced"
-    # The peer holds the same records, or fewer.
+    # The peer has the same records or fewer.
     UP_TO_DATE = "up_to_date"
-    # It answers an older question; asking again helps.
+    # The update answers an earlier request; a new request may succeed.
     STALE = "stale"
-    # The peer's history is another one: the log was shortened or rewritten between.
+    # The peer has a different history: the log was shortened or rewritten meanwhile.
     DIVERGED = "diverged"
     UNREADABLE = "unreadable"
 
 
 class RecentRecords:
-    """The newest records of a fold as peers get them, each with the chain before it.
+    """The newest records of a fold in wire form, each with the chain before it.
 
     Notes
     -----
-    Parts of snapshots are kept without their body.  They change nothing in a fold, and
-    sent to every process of a domain they would take most of what it may send.
+    Parts of snapshots are kept without their bodies.  They don't affect the fold, and
+    sending them to every process of a domain would use most of the reader's bandwidth.
     """
 
     __slots__ = ("_items", "_size_bytes")
@@ -58,7 +58,7 @@
         self._size_bytes = 0
 
     def add(self, record, chain_before, verdict):
-        """Keep a record that was just folded with its `Verdict`."""
+        """Add a record that was just folded, given its `Verdict`."""
         if verdict.status is Status.SNAPSHOT:
             digest = record_digest(record)
             item = ConfigurationRecord(record.offset, record.at_ms, None, digest)
@@ -67,7 +67,10 @@
         self.add_item(item, chain_before)
 
     def add_item(self, item, chain_before):
-        """Keep a `ConfigurationRecord`."""
+        """Add a `ConfigurationRecord`.
+
+        If it doesn't follow the newest item, the previous items are dropped.
+        """
         if self._items and self._items[-1][0].offset + 1 != item.offset:
             self._items.clear()
             self._size_bytes = 0
@@ -77,8 +80,15 @@
             dropped, _ = self._items.popleft()
             self._size_bytes -= _size_bytes(dropped)
 
-    def behind(self, offset):
-        """Return the chain at an offset and the items behind it, or None."""
+    def items_after(self, offset):
+        """Return the chain at an offset and the items after it.
+
+        Returns
+        -------
+        tuple or None
+            None if there is no item after the offset, or if the first one is no longer
+            kept.
+        """
         if not self._items:
             return None
         skipped = offset + 1 - self._items[0][0].offset
@@ -91,18 +101,20 @@
 def chosen_readers(host_names, count):
     """Return the hosts of a failure domain that read the log for the others.
 
+    Uses rendezvous hashing: when hosts join or leave, few readers change, and nodes
+    with different views of the live hosts choose mostly the same readers.
+
     Parameters
     ----------
     host_names : iterable of str
-        Hosts of the domain that are thought to be alive.
+        Hosts of the domain that are believed to be alive.
     count : int
         Number of readers.
 
     Returns
     -------
     list of str
-        The most preferred one first.  Hosts that come and go change few places; nodes
-        that see other hosts alive choose mostly the same.
+        Names of the readers, the most preferred first.
     """
     return sorted(host_names, key=_rank)[:count]
 
@@ -112,7 +124,7 @@
 
 
 def own_status(fold, confirmed_age_ms=None, snapshot_offset=None):
-    """Return the `ConfigurationStatus` of a fold; None stands for no fold."""
+    """Return the `ConfigurationStatus` of a fold, or of no fold if it is None."""
     if fold is None:
         return ConfigurationStatus(NOTHING_APPLIED, "", None, None)
     return ConfigurationStatus(
@@ -130,16 +142,21 @@
     Parameters
     ----------
     base : ConfigurationStatus
-        What the peer holds.
+        Status of the peer.
     fold : Fold or None
-        What this process holds.
+        Fold of this process.
     recent : RecentRecords
-        Its newest records.
+        Newest records of the fold.
     status : ConfigurationStatus
-        Of the fold.
+        Status of the fold.
     size_limit_bytes : int
-        Bodies of records in one answer, at most, but one record at least; and length
-        of a snapshot's part.
+        Maximum total length of the record bodies in one answer, which contains at least
+        one record, and maximum length of a part of a snapshot.
+
+    Returns
+    -------
+    ConfigurationUpdate
+        Contains the records after `base`, or a snapshot if these are no longer kept.
     """
     if not is_whole_status(base):
         base = own_status(None)
@@ -148,26 +165,26 @@
         same_offset = status.applied_offset == base.applied_offset
         update.diverged = same_offset and status.chain != base.chain
         return update
-    found = recent.behind(base.applied_offset)
+    found = recent.items_after(base.applied_offset)
     if found is None:
         update.snapshot = encode_snapshot(fold, size_limit_bytes)
         return update
     chain, records = found
     update.diverged = chain != base.chain
     if not update.diverged:
-        update.records = _within(records, size_limit_bytes)
+        update.records = _limit_size(records, size_limit_bytes)
     return update
 
 
-class Merged:
-    """What came of a peer's update.
+class MergeResult:
+    """Result of merging a peer's update.
 
     Parameters
     ----------
     outcome : MergeOutcome
-        What became of it.
+        Outcome.
     fold : Fold or None
-        The fold to go on with; another one if a snapshot was taken over.
+        Fold to continue with; a new object if a snapshot was restored.
     records : list of LogRecord
         Records that were folded.
     """
@@ -181,47 +198,47 @@
 
 
 def merge(update, fold, recent, known_format):
-    """Fold what a peer sent.
+    """Fold the records or the snapshot of a peer's update.
 
     Parameters
     ----------
     update : ConfigurationUpdate
         Answer of the peer.
     fold : Fold or None
-        What this process holds; records are folded into it.
+        Fold of this process; records are applied to it in place.
     recent : RecentRecords
-        Newest records of the fold; what is folded is added.
+        Newest records of the fold; folded records are added.
     known_format : int
         Newest record format that this program can read.
 
     Returns
     -------
-    Merged
+    MergeResult
     """
     if not _is_complete(update):
-        return Merged(MergeOutcome.UNREADABLE, fold)
+        return MergeResult(MergeOutcome.UNREADABLE, fold)
     applied_offset = own_status(fold).applied_offset
     if update.diverged:
-        return Merged(MergeOutcome.DIVERGED, fold)
+        return MergeResult(MergeOutcome.DIVERGED, fold)
     if update.status.applied_offset <= applied_offset:
-        return Merged(MergeOutcome.UP_TO_DATE, fold)
+        return MergeResult(MergeOutcome.UP_TO_DATE, fold)
     if update.snapshot:
-        return _take_over(update.snapshot, fold, known_format)
+        return _restore_snapshot(update.snapshot, fold, known_format)
     if update.base.applied_offset != applied_offset:
-        return Merged(MergeOutcome.STALE, fold)
+        return MergeResult(MergeOutcome.STALE, fold)
     fold = fold or Fold(known_format)
-    # Both ends compare: an answer that was meant for another run of this process must
-    # not be folded upon a history that it doesn't continue.
+    # Checked here as well as by the peer: an answer to an earlier run of this process
+    # must not be folded onto a history that it doesn't continue.
     if update.base.chain != fold.chain:
-        return Merged(MergeOutcome.DIVERGED, fold)
+        return MergeResult(MergeOutcome.DIVERGED, fold)
     return _fold_records(update.records, fold, recent)
 
 
 def is_whole_status(status):
-    """Return whether a `ConfigurationStatus` from a peer has the fields that it must.
+    """Return whether a `ConfigurationStatus` from a peer has its required fields.
 
-    Thrift leaves fields that weren't sent at None.  Used as they are, they would end
-    the task that follows the log, and the process would stay on its last state.
+    Thrift sets fields that weren't sent to None.  Without this check, such a field
+    would end the task that follows the log, and the state would no longer be updated.
     """
     return (
         status is not None
@@ -234,16 +251,16 @@
     statuses = is_whole_status(update.status) and is_whole_status(update.base)
     if not statuses or update.records is None or update.snapshot is None:
         return False
-    return all(_is_whole_item(item) for item in update.records)
+    return all(_is_complete_item(item) for item in update.records)
 
 
-def _is_whole_item(item):
+def _is_complete_item(item):
     has_content = item.body is not None or item.digest is not None
     return item.offset is not None and item.at_ms is not None and has_content
 
 
 def _fold_records(items, fold, recent):
-    merged = Merged(MergeOutcome.UP_TO_DATE, fold)
+    merged = MergeResult(MergeOutcome.UP_TO_DATE, fold)
     for item in items:
         if item.offset != fold.applied_offset + 1:
             merged.outcome = MergeOutcome.UNREADABLE
@@ -260,29 +277,29 @@
     return merged
 
 
-def _take_over(bodies, fold, known_format):
+def _restore_snapshot(bodies, fold, known_format):
     assembler = SnapshotAssembler()
     found = [assembler.add(LogRecord(0, 0, body)) for body in bodies]
     if found[-1] is None:
-        return Merged(MergeOutcome.UNREADABLE, fold)
+        return MergeResult(MergeOutcome.UNREADABLE, fold)
     try:
         restored = restore(found[-1], known_format)
     except RecordError:
-        return Merged(MergeOutcome.UNREADABLE, fold)
-    if fold is not None and not reaches(restored, fold):
-        return Merged(MergeOutcome.DIVERGED, fold)
-    return Merged(MergeOutcome.ADVANCED, restored)
+        return MergeResult(MergeOutcome.UNREADABLE, fold)
+    if fold is not None and not is_at_least_as_new(restored, fold):
+        return MergeResult(MergeOutcome.DIVERGED, fold)
+    return MergeResult(MergeOutcome.ADVANCED, restored)
 
 
-def reaches(fold, other):
-    """Return whether a fold is not behind another one, so that it may replace it."""
+def is_at_least_as_new(fold, other):
+    """Return whether a fold is at least as new as another and may replace it."""
     return (
         fold.applied_offset >= other.applied_offset
         and fold.state.version >= other.state.version
     )
 
 
-def _within(items, size_limit_bytes):
+def _limit_size(items, size_limit_bytes):
     chosen, size_bytes = [], 0
     for item in items:
         size_bytes += _size_bytes(item)
--- a/siskinthread/configuration/_planning.py
+++ b/siskinthread/configuration/_planning.py
@@ -1,4 +1,4 @@
-"""From configuration files and the published state to a change."""
+"""Computation of the change that turns the published state into that of files."""
 
 import hashlib
 
@@ -13,14 +13,14 @@
 
 
 class Plan:
-    """What files would change in a state.
+    """The differences between configuration files and a state.
 
     Parameters
     ----------
     added, replaced : list
-        Objects that the state lacks, or holds with other fields.
+        Objects that the state lacks, and objects whose fields differ from the state.
     removed : list of tuple of str
-        Kind and name of objects of the state that go.
+        Kind and name of each object to remove from the state.
     base_version : int
         Version of the state.
     """
@@ -34,11 +34,11 @@
         self.base_version = base_version
 
     def is_empty(self):
-        """Return whether the state already is as the files say."""
+        """Return whether the state already matches the files."""
         return not (self.added or self.replaced or self.removed)
 
     def change(self, record_id, author, message):
-        """Return the `Change` that carries the plan out."""
+        """Return the `Change` that implements the plan."""
         put = self.added + self.replaced
         return Change(record_id, author, message, self.base_version, put, self.removed)
 
@@ -49,13 +49,12 @@
     Parameters
     ----------
     files : ConfigurationFiles
-        Objects listed are added or replaced, those under ``removed`` are removed, and
-        all others stay.
+        Listed objects are added or replaced, objects under ``removed`` are removed, and
+        all other objects are kept.
     state : State
-        The published state.
+        Published state.
     replace : bool
-        Whether the objects that the files don't list are removed too, of those kinds
-        that the files do list.
+        Whether to also remove unlisted objects of the kinds that the files list.
     """
     added, replaced = [], []
     for configured in files.objects:
@@ -73,31 +72,31 @@
 
 
 def planned_tables(files, state, replace):
-    """Return the objects by kind and name that files lead to."""
+    """Return the objects by kind and name after files are published."""
     plan = make_plan(files, state, replace)
     tables, _ = changed_tables(state, plan.change("plan", "plan", ""))
     return tables
 
 
 def find_warnings(files, state, tables):
-    """Return what an operator should know before files are published.
+    """Return warnings about files that are to be published.
 
     Parameters
     ----------
     files : ConfigurationFiles
-        The files.
+        Files to publish.
     state : State
-        The published state.
-    tables : dict
-        Objects by kind and name that the files lead to.
+        Published state.
+    tables : dict of dict
+        Objects by kind and name after the files are published.
 
     Returns
     -------
     list of str
-        Selectors that match nothing, and services whose homes change.
+        Warnings about selectors that match nothing and services whose homes change.
     """
-    warnings = [str(problem) for problem in files.find_idle_selectors(tables)]
-    moved = find_moved_homes(state, tables)
+    warnings = [str(problem) for problem in files.find_unmatched_selectors(tables)]
+    moved = find_changed_homes(state, tables)
     if moved:
         warnings.append(
             f"the homes of {', '.join(moved)} change: a failure domain that is cut off "
@@ -108,8 +107,8 @@
     return warnings
 
 
-def find_moved_homes(state, tables):
-    """Return the names of the services whose homes would be other ones."""
+def find_changed_homes(state, tables):
+    """Return the names of the services whose homes would change."""
     objects = [item for table in tables.values() for item in table.values()]
     planned = State(state.version, objects)
     return [
@@ -121,7 +120,7 @@
 
 
 def publication_id(files, replace):
-    """Return an id for what files say, the same on every run."""
+    """Return a digest of the content of files, identical on every run."""
     content = {
         "objects": sorted(
             encode([kind_of(item), plain_object(item)]).decode()
--- a/siskinthread/configuration/_publisher.py
+++ b/siskinthread/configuration/_publisher.py
@@ -1,8 +1,9 @@
-"""Publishing a change so that it takes effect at most once.
+"""Publication of a change with at-most-once effect.
 
-An append's answer can be lost after the append took effect, and an append may take
-effect late.  The publisher therefore reads the log for its record id before each
-append, and the fold ignores a repeated id: several copies of a record do no harm.
+The answer to an append can be lost after the append took effect, and an append may take
+effect late.  The publisher therefore searches the log for its record id before each
+append, and the fold ignores a repeated id, so several copies of a record have no
+additional effect.
 """
 
 import curio
@@ -23,7 +24,7 @@
 from siskinthread.configuration._verdict import Status
 from siskinthread.errors import PlatformUnavailableError
 
-REFUSALS = (Status.INVALID, Status.FORMAT_ABOVE_FLOOR)
+REJECTIONS = (Status.INVALID, Status.FORMAT_ABOVE_FLOOR)
 
 
 class Published:
@@ -32,9 +33,9 @@
     Parameters
     ----------
     version : int
-        The version that it made.
+        Version created by the change.
     earlier : bool
-        Whether it had been accepted before this publisher appended anything.
+        Whether the change was accepted before this publisher appended anything.
     """
 
     __slots__ = ("earlier", "version")
@@ -44,15 +45,15 @@
         self.earlier = earlier
 
 
-class LostConflict:
-    """Another change came first; this one never takes effect.
+class Conflict:
+    """Another change was accepted first; this change never takes effect.
 
     Parameters
     ----------
     version : int
-        Version that is in force instead.
+        Version in force.
     author, record_id : str
-        Of that version.
+        Author and record id of the version in force.
     """
 
     __slots__ = ("author", "record_id", "version")
@@ -63,13 +64,13 @@
         self.record_id = record_id
 
 
-class Refused:
+class Rejected:
     """The change was not accepted and never takes effect.
 
     Parameters
     ----------
     reason : str
-        Why.
+        Reason for the rejection.
     """
 
     __slots__ = ("reason",)
@@ -78,17 +79,17 @@
         self.reason = reason
 
 
-class NotKnown:
-    """The deadline passed first; the change may have taken effect or may yet do so.
+class OutcomeUnknown:
+    """The outcome is unknown; the change may have taken effect or may do so later.
 
     Parameters
     ----------
     record_id : str
-        Id to look for in the log.
+        Id to search for in the log.
     appended : bool
-        Whether an append was tried; without one, it can't have taken effect.
+        Whether an append was attempted; if not, this run published nothing.
     reason : str
-        What kept the publisher from knowing.
+        Reason why the outcome is unknown.
     """
 
     __slots__ = ("appended", "reason", "record_id")
@@ -109,7 +110,7 @@
     stream : str
         Name of the configuration stream.
     change : Change or FloorChange
-        What to publish.
+        Change to publish.
     settings : ConfigurationSettings
         Size limit and back-off.
     random : random.Random
@@ -143,19 +144,19 @@
         Parameters
         ----------
         deadline : Deadline
-            When to give up waiting.
+            Deadline for determining the outcome.
 
         Returns
         -------
-        Published, LostConflict, Refused or NotKnown
+        Published, Conflict, Rejected or OutcomeUnknown
         """
         defect = self._find_defect()
         if defect:
-            return Refused(defect)
+            return Rejected(defect)
         reason = "the deadline had passed"
         while not deadline.passed():
             try:
-                outcome = self._judge(await self._reader.catch_up())
+                outcome = self._determine_outcome(await self._reader.catch_up())
                 if outcome is not None:
                     return outcome
                 self._appended = True
@@ -164,7 +165,7 @@
                 reason = str(error)
                 wait_s = self._backoff.next_wait_s()
                 await curio.sleep(min(wait_s, deadline.left_s()))
-        return NotKnown(self._change.record_id, self._appended, reason)
+        return OutcomeUnknown(self._change.record_id, self._appended, reason)
 
     def _find_defect(self):
         if len(self._body) > self._limit_bytes:
@@ -176,30 +177,30 @@
             return str(error)
         return ""
 
-    def _judge(self, reading):
+    def _determine_outcome(self, reading):
         change = self._change
         if reading.condition is not Condition.GOOD:
             return self._unreadable(reading)
         fold = self._reader.fold
         accepted = fold.accepted_ids.get(change.record_id)
         if accepted is not None:
-            return self._judge_accepted(accepted)
+            return self._compare_accepted(accepted)
         for verdict in reading.verdicts:
-            if verdict.status in REFUSALS and self._is_own(verdict.change):
-                return Refused(verdict.reason)
+            if verdict.status in REJECTIONS and self._is_own(verdict.change):
+                return Rejected(verdict.reason)
         version = fold.state.version
         if change.expected_version > version:
             expected = change.expected_version
-            return Refused(f"version {version} is in force, {expected} is yet to come")
-        # Versions only rise, so a late copy of this record is stale for good too.
+            return Rejected(f"version {version} is in force, {expected} is yet to come")
+        # Versions only increase, so a late copy of this record stays stale.
         if change.expected_version < version:
-            return LostConflict(version, fold.last_author, fold.last_record_id)
+            return Conflict(version, fold.last_author, fold.last_record_id)
         return None
 
-    def _judge_accepted(self, accepted):
+    def _compare_accepted(self, accepted):
         if accepted.content_digest != content_digest(self._change):
             record_id = self._change.record_id
-            return Refused(
+            return Rejected(
                 f"id {record_id!r} was used for another change, {accepted.offset}"
             )
         return Published(accepted.offset, earlier=not self._appended)
@@ -207,8 +208,8 @@
     def _unreadable(self, reading):
         reason = f"the log can't be followed ({reading.condition}): {reading.detail}"
         if self._appended:
-            return NotKnown(self._change.record_id, True, reason)
-        return Refused(reason)
+            return OutcomeUnknown(self._change.record_id, True, reason)
+        return Rejected(reason)
 
     def _is_own(self, other):
         return other is not None and _encode(other) == self._body
--- a/siskinthread/configuration/_reader.py
+++ b/siskinthread/configuration/_reader.py
@@ -1,13 +1,13 @@
-"""Reading the configuration stream into a fold."""
+"""Reader that folds the records of the configuration stream."""
 
 import curio
 
 from siskinthread.configuration._collecting import CollectedRecords
 from siskinthread.configuration._fold import record_digest
 from siskinthread.configuration._peers import (
+    is_at_least_as_new,
     merge,
     own_status,
-    reaches,
     RecentRecords,
     records_since,
 )
@@ -17,14 +17,15 @@
 from siskinthread.errors import PlatformUnavailableError
 
 READ_LIMIT = 100
-# Longer bodies, and any body upon a large state, are folded in a thread: tens of
-# milliseconds here would delay the heartbeats of every connection of the process.
+# Records with larger bodies, and all records if the state is large, are folded in a
+# thread: tens of milliseconds in the event loop would delay the heartbeats of every
+# connection of the process.
 THREAD_BODY_BYTES = 16 * 1024
 THREAD_OBJECTS = 300
 
 
 class LogReader:
-    """Keeps a fold up to date with the log and never sets it back.
+    """Keeps a fold up to date with the log and never reverts it to an older state.
 
     Parameters
     ----------
@@ -33,16 +34,17 @@
     stream : str
         Name of the configuration stream.
     known_format : int
-        Newest format that this program can read.
+        Newest record format that this program can read.
     whole_history : bool
-        Start from the oldest snapshot instead of the newest, for the verdicts.
+        Whether to start from the oldest snapshot instead of the newest, to get more
+        verdicts.
 
     Attributes
     ----------
     fold : Fold or None
-        None until the log was read for the first time.
+        None until the log has been read once.
     base_offset : int
-        Offset of the newest complete snapshot that was seen; -1 without one.
+        Applied offset of the newest complete snapshot seen; -1 if there is none.
     """
 
     __slots__ = (
@@ -66,18 +68,18 @@
         self._whole_history = whole_history
         self._assembler = SnapshotAssembler()
         self._recent = RecentRecords()
-        # Peers are answered from other tasks, while a thread may be folding.
+        # Other tasks answer peers while a thread may be folding.
         self._lock = curio.Lock()
         self.fold = None
         self.base_offset = -1
 
     async def read_on(self, wait_s=0.0):
-        """Fold what the log has beyond the applied offset.
+        """Fold the records after the applied offset.
 
         Parameters
         ----------
         wait_s : float
-            How long the log may wait for a record when there is none yet, seconds.
+            Time for which the log may wait for a new record, in seconds.
 
         Returns
         -------
@@ -86,10 +88,10 @@
         Raises
         ------
         PlatformUnavailableError
-            If the log gave no answer; what was folded stays.
+            If the log didn't respond; records folded before are kept.
         """
         if self.fold is None:
-            return await self._start()
+            return await self._rebuild()
         if self.fold.halted_reason:
             next_offset = self.fold.applied_offset + 1
             return Reading(Condition.HALTED, next_offset, self.fold.halted_reason)
@@ -99,15 +101,15 @@
             detail = f"the log ends at {span.next_offset}, {wanted - 1} was applied"
             return Reading(Condition.SHORTENED, span.next_offset, detail)
         if span.first_offset > wanted:
-            return await self._start()
-        if span.records and not await self._still_holds_applied(span.first_offset):
+            return await self._rebuild()
+        if span.records and not await self._applied_record_matches(span.first_offset):
             detail = f"record {wanted - 1} is another one than was applied"
             return Reading(Condition.REWRITTEN, span.next_offset, detail)
         _check_first(span, wanted)
         return await self._fold_on(self.fold, span.records, span.next_offset)
 
     async def catch_up(self):
-        """Read until nothing is left; return all of it as one `Reading`."""
+        """Read to the end of the log and return a single `Reading`."""
         whole = await self.read_on()
         while whole.condition is Condition.GOOD:
             if self.fold.applied_offset + 1 >= whole.next_offset:
@@ -118,17 +120,18 @@
             whole = reading
         return whole
 
-    async def take(self, update):
-        """Fold a peer's `ConfigurationUpdate`; return what `merge` made of it.
+    async def merge_update(self, update):
+        """Fold a peer's `ConfigurationUpdate` and return the result of `merge`.
 
-        Not to be called while `read_on` runs.
+        Must not be called while `read_on` runs.
         """
         async with self._lock:
             merged = await curio.run_in_thread(
                 merge, update, self.fold, self._recent, self._known_format
             )
             self.fold = merged.fold
-            # Parts of snapshots come without their bodies; the peer has seen them.
+            # Parts of snapshots arrive without bodies, so the offset of the newest
+            # complete snapshot is taken from the peer's status.
             if _same_history(update.status, self.fold):
                 known_offset = update.status.snapshot_offset
                 self.base_offset = max(self.base_offset, known_offset)
@@ -147,10 +150,10 @@
                 size_limit_bytes,
             )
 
-    async def _still_holds_applied(self, first_offset):
+    async def _applied_record_matches(self, first_offset):
         # A log that was shortened and has grown again since the last read ends beyond
-        # the applied offset, as a sound one does.  Only the record itself shows that
-        # what follows was appended to another history.
+        # the applied offset, like an intact log.  Only the record at that offset shows
+        # whether the following records continue the same history.
         fold = self.fold
         if fold.applied_digest is None or fold.applied_offset < first_offset:
             return True
@@ -159,7 +162,7 @@
             return span.first_offset > fold.applied_offset
         return record_digest(span.records[0]) == fold.applied_digest
 
-    async def _start(self):
+    async def _rebuild(self):
         """Rebuild the fold from the newest usable snapshot, or from offset 0."""
         collected = await self._collect()
         arguments = (self._known_format, self._whole_history)
@@ -168,18 +171,20 @@
         else:
             base = collected.usable_base(*arguments)
         if base is None:
-            return Reading(Condition.GAP, collected.next_offset, collected.why_unusable)
+            return Reading(
+                Condition.GAP, collected.next_offset, collected.unusable_reason
+            )
         base_offset = base.applied_offset
         earlier = (self._assembler, self._recent)
         self._assembler, self._recent = SnapshotAssembler(), RecentRecords()
-        records = collected.after(base_offset)
+        records = collected.records_after(base_offset)
         reading = await self._fold_on(base, records, collected.next_offset)
-        if self.fold is not None and not reaches(base, self.fold):
+        if self.fold is not None and not is_at_least_as_new(base, self.fold):
             self._assembler, self._recent = earlier
             detail = f"the log now stands for less than {self.fold.applied_offset}"
             return Reading(Condition.SHORTENED, collected.next_offset, detail)
-        # The fold is shown only once it's whole: a process that used a half-built one
-        # would go by an older configuration than it had.
+        # The fold is published only when it is complete: a partial fold would put an
+        # older configuration in force than before.
         self.fold = base
         self.base_offset = max(self.base_offset, base_offset)
         return reading
@@ -210,13 +215,13 @@
                 break
             reading.records.append(record)
             reading.verdicts.append(verdict)
-            self._note_snapshot(record)
+            self._track_snapshot(record)
         return reading
 
     async def _apply(self, fold, record):
         async with self._lock:
             chain_before = fold.chain
-            if _takes_long(fold, record):
+            if _needs_thread(fold, record):
                 diverged, verdict = await curio.run_in_thread(
                     _compare_and_apply, fold, record
                 )
@@ -224,11 +229,11 @@
                 diverged, verdict = _compare_and_apply(fold, record)
             if verdict is not None:
                 self._recent.add(record, chain_before, verdict)
-        # Lets other tasks run between two records of a long log.
+        # Let other tasks run between the records of a long log.
         await curio.sleep(0)
         return diverged, verdict
 
-    def _note_snapshot(self, record):
+    def _track_snapshot(self, record):
         snapshot = self._assembler.add(record)
         if snapshot is not None:
             self.base_offset = max(self.base_offset, snapshot.applied_offset)
@@ -252,5 +257,5 @@
     return diverged, fold.apply(record)
 
 
-def _takes_long(fold, record):
+def _needs_thread(fold, record):
     return len(record.body) > THREAD_BODY_BYTES or fold.state.size() > THREAD_OBJECTS
--- a/siskinthread/configuration/_reading.py
+++ b/siskinthread/configuration/_reading.py
@@ -4,16 +4,16 @@
 
 
 class Condition(enum.StrEnum):
-    """What a read of the log met."""
+    """State of the log found by a read."""
 
     GOOD = "good"
-    # The log ends before what was applied: records were lost, or it was replaced.
+    # The log ends before the applied offset: records were lost, or it was replaced.
     SHORTENED = "shortened"
-    # The last applied record is another one now.
+    # The record at the applied offset differs from the applied record.
     REWRITTEN = "rewritten"
-    # Records that are needed have expired, and no snapshot stands for them.
+    # Required records have expired, and no snapshot replaces them.
     GAP = "gap"
-    # A record raised the format above what this program knows.
+    # A record raised the format above the newest one that this program can read.
     HALTED = "halted"
 
 
@@ -23,20 +23,20 @@
     Parameters
     ----------
     condition : Condition
-        Whether the log could be followed.
+        State of the log.
+    next_offset : int
+        End of the log.
     detail : str
-        One sentence about any other condition than GOOD.
+        Description of a condition other than GOOD.
     records : list of LogRecord
-        Records that were folded.
+        Folded records.
     verdicts : list of Verdict
-        What became of each of them.
-    next_offset : int
-        Where the log ended.
+        Verdict on each folded record.
 
     Attributes
     ----------
     diverged_offsets : list of int
-        Snapshots whose content isn't that of this node's fold at the same offset.
+        Offsets of snapshot parts whose content differs from this node's fold.
     """
 
     __slots__ = (
--- a/siskinthread/configuration/_records.py
+++ b/siskinthread/configuration/_records.py
@@ -1,7 +1,7 @@
-"""Records of the configuration stream: bodies in JSON.
+"""Records of the configuration stream, with JSON bodies.
 
-Every body is an object with ``format`` and ``kind``.  ``format`` is the least version
-of the format that a reader must know.  The kinds of format 1 are ``change``, ``floor``
+Every body is an object with ``format`` and ``kind``.  ``format`` is the minimum format
+version that a reader must support.  The kinds of format 1 are ``change``, ``floor``
 (`siskinthread.configuration._fold`) and ``snapshot``
 (`siskinthread.configuration._snapshots`).
 """
@@ -11,16 +11,16 @@
 import json
 import re
 
-from siskinthread.configuration._forms import Finding, read_value, Text, Whole
+from siskinthread.configuration._forms import Finding, Integer, read_value, Text
 from siskinthread.configuration._objects import kind_of, KINDS
 from siskinthread.configuration._schema import NAME, plain_object, read_object
 
 FORMAT_VERSION = 1
 FIRST_FORMAT = 1
 NESTING_LIMIT = 32
-OFFSET = Whole(-1, 2**62)
+OFFSET = Integer(-1, 2**62)
 _BRACKET = re.compile(r"[\[\]{}]")
-_FORMAT = Whole(1, 2**31)
+_FORMAT = Integer(1, 2**31)
 _RECORD_ID = Text(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,99}", "a short name")
 _AUTHOR = Text(r"[^\x00-\x1f\x7f\ud800-\udfff]{1,100}", "a name of one line")
 _MESSAGE = Text(r"[^\x00-\x1f\x7f\ud800-\udfff]{0,500}", "a text of one line")
@@ -38,7 +38,7 @@
     Parameters
     ----------
     findings : list of Finding
-        Every problem.
+        All problems of the body.
     """
 
     def __init__(self, findings):
@@ -52,17 +52,17 @@
     Parameters
     ----------
     record_id : str
-        Chosen by the publisher; the same on every retry.
+        Id set by the publisher; identical on every retry.
     author : str
-        Who published it.
+        Author of the change.
     message : str
-        Why.
+        Reason for the change.
     expected_version : int
-        Version of the state that the change was made for.
+        Version of the state that the change applies to.
     put : list
-        Objects that are added or replaced.
+        Objects to add or replace.
     removed : list of tuple of str
-        Kind and name of the objects that are removed.
+        Kind and name of each object to remove.
     """
 
     __slots__ = (
@@ -91,7 +91,7 @@
     record_id, author, message, expected_version
         As for `Change`.
     format_floor : int
-        The new floor, one above the old one.
+        New floor; accepted only if it is one above the current floor.
     """
 
     __slots__ = ("author", "expected_version", "format_floor", "message", "record_id")
@@ -121,7 +121,10 @@
 
 
 def content_digest(change):
-    """Return a digest of what a change does, whoever publishes it and upon what."""
+    """Return a digest of the content of a change.
+
+    It doesn't depend on the author, the message, the record id or the expected version.
+    """
     if isinstance(change, FloorChange):
         return _digest({"format_floor": change.format_floor})
     return _digest(_contents(change))
@@ -133,22 +136,22 @@
     Raises
     ------
     RecordError
-        If it is none.
+        If the body isn't a valid JSON object.
 
     Notes
     -----
-    Nesting is limited before parsing.  The parser's own limit depends on how deep the
-    caller's stack is, so that one node would read a record which another refuses.
+    Nesting is limited before parsing.  The limit of the parser depends on the depth of
+    the caller's stack, so one node could accept a record that another rejects.
     """
     try:
         text = body.decode("utf-8")
         _check_nesting(text)
         value = json.loads(
-            text, object_pairs_hook=_unrepeated, parse_constant=_refuse_constant
+            text, object_pairs_hook=_build_unique_dict, parse_constant=_reject_constant
         )
     except ValueError as error:
-        # Not the parser's own words: they differ from one of its versions to the next,
-        # and reasons are the same on every node.
+        # The parser's message is not included: it varies between parser versions, and
+        # reasons must be identical on every node.
         raise RecordError([Finding((), "unreadable")]) from error
     if not isinstance(value, dict):
         raise RecordError([Finding((), "the body is no object")])
@@ -258,12 +261,12 @@
             raise ValueError(f"nested deeper than {NESTING_LIMIT}")
 
 
-def _unrepeated(pairs):
+def _build_unique_dict(pairs):
     value = dict(pairs)
     if len(value) != len(pairs):
         raise ValueError("a key is repeated")
     return value
 
 
-def _refuse_constant(word):
+def _reject_constant(word):
     raise ValueError(f"{word} is no number of JSON")
--- a/siskinthread/configuration/_reports.py
+++ b/siskinthread/configuration/_reports.py
@@ -1,4 +1,4 @@
-"""How the results of the operators' commands are shown, to people and as JSON."""
+"""Reports of the operators' commands, as text and as JSON."""
 
 import functools
 import json
@@ -7,32 +7,32 @@
 from siskinthread.configuration._objects import kind_of, KINDS
 from siskinthread.configuration._operations import InForce, Superseded
 from siskinthread.configuration._publisher import (
-    LostConflict,
-    NotKnown,
+    Conflict,
+    OutcomeUnknown,
     Published,
-    Refused,
+    Rejected,
 )
 from siskinthread.configuration._records import Change
 from siskinthread.configuration._schema import plain_object
 
-EXIT_FINE = 0
+EXIT_SUCCESS = 0
 EXIT_FAILED = 1
-EXIT_BAD_FILE = 2
+EXIT_INVALID_FILE = 2
 EXIT_CONFLICT = 3
-EXIT_NOT_KNOWN = 4
+EXIT_UNKNOWN = 4
 
 
 class Report:
-    """What a command prints, and its exit code.
+    """Output of a command, and its exit code.
 
     Parameters
     ----------
     exit_code : int
-        0 fine, 1 failed, 2 bad file, 3 lost to a conflict, 4 not known.
+        0 success, 1 failure, 2 invalid file, 3 conflict, 4 unknown outcome.
     text : str
-        For people.
+        Human-readable output.
     plain : dict
-        For ``--json``.
+        Output for ``--json``.
     """
 
     __slots__ = ("exit_code", "plain", "text")
@@ -43,7 +43,7 @@
         self.plain = plain
 
     def with_warnings(self, warnings):
-        """Return the report with warnings before it."""
+        """Return a copy of the report with warnings placed before its text."""
         text = "\n".join([f"warning: {item}" for item in warnings] + [self.text])
         return Report(self.exit_code, text, {**self.plain, "warnings": warnings})
 
@@ -62,7 +62,7 @@
 def _(outcome: Published):
     earlier = " by an earlier run" if outcome.earlier else ""
     return _outcome_report(
-        EXIT_FINE,
+        EXIT_SUCCESS,
         f"Accepted as version {outcome.version}{earlier}.",
         "accepted",
         version=outcome.version,
@@ -73,7 +73,7 @@
 @report_outcome.register
 def _(outcome: InForce):
     return _outcome_report(
-        EXIT_FINE,
+        EXIT_SUCCESS,
         f"Nothing to publish: version {outcome.version} is as the files say.",
         "in_force",
         version=outcome.version,
@@ -81,7 +81,7 @@
 
 
 @report_outcome.register
-def _(outcome: LostConflict):
+def _(outcome: Conflict):
     return _outcome_report(
         EXIT_CONFLICT,
         f"Not accepted, and never will be: {outcome.author} published version "
@@ -109,13 +109,13 @@
 
 
 @report_outcome.register
-def _(outcome: Refused):
+def _(outcome: Rejected):
     text = f"Not accepted: {outcome.reason}."
     return _outcome_report(EXIT_FAILED, text, "refused", reason=outcome.reason)
 
 
 @report_outcome.register
-def _(outcome: NotKnown):
+def _(outcome: OutcomeUnknown):
     what = (
         "Not known whether the change was accepted"
         if outcome.appended
@@ -127,7 +127,7 @@
         f"{outcome.record_id!r} with 'siskinthread config history --id'."
     )
     return _outcome_report(
-        EXIT_NOT_KNOWN,
+        EXIT_UNKNOWN,
         text,
         "not_known",
         record_id=outcome.record_id,
@@ -137,7 +137,7 @@
 
 
 def report_check(problems, warnings):
-    """Return the `Report` of a check."""
+    """Return the `Report` of a check of files."""
     lines = [str(problem) for problem in problems]
     lines += [f"{warning} (warning)" for warning in warnings]
     lines.append(f"{len(problems)} problems, {len(warnings)} warnings.")
@@ -145,15 +145,17 @@
         "problems": [_plain_problem(problem) for problem in problems],
         "warnings": [_plain_problem(warning) for warning in warnings],
     }
-    exit_code = EXIT_BAD_FILE if problems else EXIT_FINE
+    exit_code = EXIT_INVALID_FILE if problems else EXIT_SUCCESS
     return Report(exit_code, "\n".join(lines), plain)
 
 
 def report_plan(plan, state):
     """Return the `Report` of a plan."""
     lines = [f"Against version {plan.base_version}:"]
-    lines += [f"+ {_title(item)}" for item in plan.added]
-    changed = {_title(item): _field_changes(item, state) for item in plan.replaced}
+    lines += [f"+ {_qualified_name(item)}" for item in plan.added]
+    changed = {
+        _qualified_name(item): _field_changes(item, state) for item in plan.replaced
+    }
     for title, fields in changed.items():
         lines.append(f"~ {title}")
         lines += [f"    {name}: {old!r} -> {new!r}" for name, old, new in fields]
@@ -162,14 +164,14 @@
         lines.append("nothing changes.")
     plain = {
         "version": plan.base_version,
-        "added": [_title(item) for item in plan.added],
+        "added": [_qualified_name(item) for item in plan.added],
         "replaced": {
             title: {name: {"old": old, "new": new} for name, old, new in fields}
             for title, fields in changed.items()
         },
         "removed": [f"{kind}/{name}" for kind, name in plan.removed],
     }
-    return Report(EXIT_FINE, "\n".join(lines), plain)
+    return Report(EXIT_SUCCESS, "\n".join(lines), plain)
 
 
 def report_state(fold, kind, name):
@@ -184,13 +186,13 @@
     plain_objects = [plain_object(item) for item in chosen]
     plain = {"version": fold.state.version, "objects": {kind: plain_objects}}
     if name is not None:
-        return Report(EXIT_FINE, json.dumps(plain_objects[0], indent=2), plain)
+        return Report(EXIT_SUCCESS, json.dumps(plain_objects[0], indent=2), plain)
     lines = [f"{item.name}  {_label_text(item.labels)}".rstrip() for item in chosen]
-    return Report(EXIT_FINE, "\n".join(lines), plain)
+    return Report(EXIT_SUCCESS, "\n".join(lines), plain)
 
 
 def report_history(verdicts):
-    """Return the `Report` of what became of records."""
+    """Return the `Report` of the verdicts on records."""
     lines = []
     for verdict in verdicts:
         author = verdict.change.author if verdict.change else "-"
@@ -200,7 +202,7 @@
             f"{author}  {what}".rstrip()
         )
     plain = {"records": [_plain_verdict(verdict) for verdict in verdicts]}
-    return Report(EXIT_FINE, "\n".join(lines), plain)
+    return Report(EXIT_SUCCESS, "\n".join(lines), plain)
 
 
 def _state_overview(fold):
@@ -222,14 +224,14 @@
             for kind in KINDS
         },
     }
-    return Report(EXIT_FINE, "\n".join(lines), plain)
+    return Report(EXIT_SUCCESS, "\n".join(lines), plain)
 
 
 def _outcome_report(exit_code, text, outcome, **fields):
     return Report(exit_code, text, {"outcome": outcome, **fields})
 
 
-def _title(configured):
+def _qualified_name(configured):
     return f"{kind_of(configured)}/{configured.name}"
 
 
@@ -246,7 +248,7 @@
 def _summary(change):
     if not isinstance(change, Change):
         return f"raises the record format to {change.format_floor}"
-    titles = [f"+{_title(item)}" for item in change.put]
+    titles = [f"+{_qualified_name(item)}" for item in change.put]
     titles += [f"-{kind}/{name}" for kind, name in change.removed]
     shown = " ".join(titles[:4]) + (" ..." if len(titles) > 4 else "")
     return f"{change.message}: {shown}" if change.message else shown
--- a/siskinthread/configuration/_schedule.py
+++ b/siskinthread/configuration/_schedule.py
@@ -1,4 +1,4 @@
-"""When to write the next snapshot."""
+"""Schedule of snapshots."""
 
 from siskinthread.timing import Deadline
 
@@ -6,29 +6,30 @@
 
 
 class SnapshotSchedule:
-    """The jittered deadline of the next snapshot of one node.
+    """The jittered deadline of a node's next snapshot.
 
     Parameters
     ----------
     settings : ConfigurationSettings
         Retention of the log and shares of it.
     clock : Clock
-        The node's clock.
+        Clock of the node.
     random : random.Random
         Source of the jitter.
 
     Notes
     -----
-    The oldest needed record is the one behind the newest complete snapshot.  It may be
-    the first part of that snapshot itself, so a quiet log is written on too.  Each node
-    draws a deadline well before that record expires; the first one writes, and the
-    others see the snapshot and draw anew.
+    The oldest needed record is the first one after the offset of the newest complete
+    snapshot.  It may be the first part of that snapshot itself, so snapshots are also
+    repeated in a log without new changes.  Each node draws a random deadline well
+    before this record expires.  The node with the earliest deadline writes the
+    snapshot; the others see it and draw new deadlines.
     """
 
     __slots__ = (
         "_base_offset",
         "_clock",
-        "_crowded",
+        "_record_limit_reached",
         "_not_before",
         "_random",
         "_settings",
@@ -42,17 +43,25 @@
         self._random = random
         self._base_offset = -1
         self._times = {}
-        self._crowded = False
+        self._record_limit_reached = False
         self._not_before = None
         self.deadline = None
 
     def note(self, records, base_offset):
-        """Take in records that were folded and the offset of the newest snapshot."""
+        """Update the deadline after records were folded.
+
+        Parameters
+        ----------
+        records : iterable of LogRecord
+            Folded records.
+        base_offset : int
+            Applied offset of the newest complete snapshot; -1 if there is none.
+        """
         for record in records:
             self._times[record.offset] = record.at_ms
         if base_offset > self._base_offset:
             self._base_offset = base_offset
-            self._crowded = False
+            self._record_limit_reached = False
             self.deadline = None
         needed = {
             offset: at_ms
@@ -62,23 +71,28 @@
         self._times = needed
         if needed and self.deadline is None:
             self.deadline = self._before_expiry(needed[min(needed)])
-        if len(needed) >= self._settings.snapshot_after_records and not self._crowded:
-            self._crowded = True
+        if (
+            len(needed) >= self._settings.snapshot_after_records
+            and not self._record_limit_reached
+        ):
+            self._record_limit_reached = True
             self._bring_forward()
 
     def note_unknown_base(self):
-        """Take in that the state came from a peer, not from the log.
+        """Bring the deadline forward after the state came from a peer.
 
-        How old the log's newest snapshot is isn't known then.  Unless one is seen, it's
-        written soon, as the records that it's needed for may be about to expire.
+        The age of the newest snapshot in the log is then unknown, and the needed
+        records may be about to expire, so a snapshot is written soon unless one is
+        seen.
         """
         self._bring_forward()
 
     def put_off(self):
-        """Wait after this node wrote a snapshot, whether or not it comes back.
+        """Postpone the next snapshot after this node wrote one.
 
-        Without a pause, a node whose clock is far ahead of the log's would find its
-        own snapshot too old at once and write again and again.
+        Applies whether or not the node reads its own snapshot from the log.  Without
+        this pause, a node whose clock is far ahead of the log's clock would consider
+        its own snapshot too old immediately and write snapshots continuously.
         """
         settings = self._settings
         pause_s = settings.snapshot_earliest_share * settings.retention_s / 2
@@ -86,7 +100,7 @@
         self.deadline = self._not_before
 
     def due(self):
-        """Return whether a snapshot is to be written now."""
+        """Return whether it is time to write a snapshot."""
         if self.deadline is None or not self.deadline.passed():
             return False
         return self._not_before is None or self._not_before.passed()
@@ -102,6 +116,6 @@
 
     def _bring_forward(self):
         spread_s = self._settings.snapshot_spread_s * self._random.random()
-        sooner = Deadline.after(self._clock, spread_s)
-        if self.deadline is None or sooner.at_s < self.deadline.at_s:
-            self.deadline = sooner
+        earlier_deadline = Deadline.after(self._clock, spread_s)
+        if self.deadline is None or earlier_deadline.at_s < self.deadline.at_s:
+            self.deadline = earlier_deadline
--- a/siskinthread/configuration/_schema.py
+++ b/siskinthread/configuration/_schema.py
@@ -1,19 +1,19 @@
-"""Fields of each kind of object, and the way between objects and JSON."""
+"""Fields of each kind of object, and conversion between objects and JSON."""
 
 import functools
 
 from siskinthread.configuration._forms import (
+    Boolean,
     Finding,
-    Flag,
+    Integer,
     Labels,
     ListOf,
     Number,
+    OneOf,
     read_value,
     SelectorText,
     Text,
-    Whole,
     Window,
-    Word,
 )
 from siskinthread.configuration._names import (
     KEY_DIGEST_PATTERN,
@@ -33,7 +33,7 @@
 _FORMS = {
     "hosts": {},
     "services": {
-        "kind": Word("engine", "plain"),
+        "kind": OneOf("engine", "plain"),
         "models": ListOf(Text(MODEL_PATTERN, "triage-7b"), 1000),
         "idempotent_methods": ListOf(Text(METHOD_PATTERN, "GET"), 32),
         "lifetime_limit_s": Number(0, LIFETIME_LIMIT_S, above_zero=True),
@@ -41,7 +41,7 @@
     "groups": {
         "service": NAME,
         "hosts": _SELECTOR,
-        "checks_fencing": Flag(),
+        "checks_fencing": Boolean(),
         "skew_weight": _WEIGHT,
         "cost_weight": _WEIGHT,
         "quiet_windows": ListOf(Window(), 32),
@@ -54,7 +54,7 @@
         "accounts": _SELECTOR,
         "services": _SELECTOR,
         "hosts": _SELECTOR,
-        "priority": Whole(0, 1000),
+        "priority": Integer(0, 1000),
     },
     "limits": {
         "accounts": _SELECTOR,
@@ -66,8 +66,8 @@
 FIELDS = {
     kind: {"name": NAME, "labels": Labels(), **forms} for kind, forms in _FORMS.items()
 }
-# Defaults are filled in by the publisher and never by the fold: a default that changed
-# from one version to the next would make two nodes fold one record differently.
+# The publisher fills in defaults, never the fold: if a default changed between program
+# versions, two nodes would fold the same record differently.
 _DEFAULTS = {
     "labels": {},
     "models": [],
@@ -82,13 +82,15 @@
 
 
 def with_defaults(kind, value):
-    """Return the JSON dict of an object with the fields that it leaves out."""
+    """Return a JSON dict of an object with omitted fields set to their defaults."""
     filled = {name: _DEFAULTS[name] for name in FIELDS[kind] if name in _DEFAULTS}
     return {**filled, **value}
 
 
 def read_object(kind, value, path, findings):
-    """Read an object that states every field.
+    """Validate the JSON form of an object and build the object.
+
+    No defaults are applied: every field must be present.
 
     Parameters
     ----------
@@ -97,14 +99,14 @@
     value : object
         Plain JSON value.
     path : tuple
-        Where the object stands.
+        Keys and indices that lead to the object.
     findings : list of Finding
-        Every problem is added here.
+        Problems are appended to this list.
 
     Returns
     -------
     object or None
-        None if there is any problem.
+        None if the value has a problem.
     """
     if not isinstance(value, dict):
         findings.append(Finding(path, "an object is a dict of fields"))
@@ -127,7 +129,7 @@
 
 
 def plain_object(configured):
-    """Return an object as the JSON dict that `read_object` reads."""
+    """Return an object as the JSON dict that `read_object` accepts."""
     return {
         name: plain_value(getattr(configured, name))
         for name in FIELDS[kind_of(configured)]
@@ -136,7 +138,7 @@
 
 @functools.singledispatch
 def plain_value(value):
-    """Return a field's value as plain JSON."""
+    """Return the JSON value of a field."""
     return value
 
 
--- a/siskinthread/configuration/_selector.py
+++ b/siskinthread/configuration/_selector.py
@@ -1,4 +1,4 @@
-"""Label selectors such as ``zone in (a,b), tier!=spare``."""
+"""Label selectors, for example ``zone in (a,b), tier!=spare``."""
 
 import re
 
@@ -20,9 +20,10 @@
     key : str
         Key of the label.
     values : frozenset of str or None
-        Values that the label is compared with; None stands for every value.
+        Values that the label is compared with; None for any value.
     negated : bool
-        Whether the label must be absent or have another value.
+        Whether the condition is negated: the label must be absent or have a value that
+        is not among `values`.
     """
 
     __slots__ = ("key", "negated", "values")
@@ -41,7 +42,7 @@
 
 
 class Selector:
-    """A conjunction of requirements on labels; the empty text matches everything.
+    """A conjunction of requirements on labels; an empty text matches all labels.
 
     Parameters
     ----------
@@ -52,12 +53,12 @@
     Raises
     ------
     ValueError
-        If the text can't be read; the message says where.
+        If the syntax is invalid; the message gives the position.
 
     Notes
     -----
-    As in Kubernetes, the negated requirements also match objects that lack the key.
-    What a text means is part of the record format: see ``docs/design``.
+    As in Kubernetes, negated requirements also match objects that lack the key.  The
+    semantics of a selector are part of the record format: see ``docs/design``.
     """
 
     __slots__ = ("_requirements", "text")
@@ -95,9 +96,11 @@
     stripped = part.strip()
     if match := _IN.fullmatch(stripped):
         values = [value.strip() for value in match["values"].split(",")]
-        return _compared(match, values, match["operator"] == "notin", part, start)
+        return _value_requirement(
+            match, values, match["operator"] == "notin", part, start
+        )
     if match := _EQUALS.fullmatch(stripped):
-        return _compared(
+        return _value_requirement(
             match, [match["value"]], match["operator"] == "!=", part, start
         )
     if match := _EXISTS.fullmatch(stripped):
@@ -105,7 +108,7 @@
     raise ValueError(f"can't read {stripped!r} at character {start + 1}")
 
 
-def _compared(match, values, negated, part, start):
+def _value_requirement(match, values, negated, part, start):
     for value in values:
         if not _VALUE.fullmatch(value):
             place = start + part.find(value) + 1
--- a/siskinthread/configuration/_snapshots.py
+++ b/siskinthread/configuration/_snapshots.py
@@ -1,8 +1,8 @@
-"""Snapshots: the whole fold at an offset, appended to the log again.
+"""Snapshots: the complete fold at an offset, appended to the log.
 
-The log keeps records for a limited time and hosts keep nothing, so without them the
-first accepted records would expire and no starting node could rebuild the state.  The
-content is a function of the fold alone; it's the same whoever writes it.
+The log keeps records for a limited time, and hosts store nothing.  Without snapshots,
+the first accepted records would expire, and a starting node could not rebuild the
+state.  The content depends only on the fold, so all nodes write identical snapshots.
 """
 
 import base64
@@ -10,7 +10,7 @@
 import json
 
 from siskinthread.configuration._fold import Fold
-from siskinthread.configuration._forms import Finding, read_value, Text, Whole
+from siskinthread.configuration._forms import Finding, Integer, read_value, Text
 from siskinthread.configuration._homes import Homes
 from siskinthread.configuration._names import KEY_DIGEST_PATTERN
 from siskinthread.configuration._objects import KINDS
@@ -27,27 +27,27 @@
 
 ENVELOPE_BYTES = 512
 PARTS_LIMIT = 10_000
-_MARK = b'"kind":"snapshot"'
+_KIND_MARKER = b'"kind":"snapshot"'
 _PART_FIELDS = {
     "applied_offset": OFFSET,
     "digest": Text(KEY_DIGEST_PATTERN, "64 hexadecimal digits"),
-    "part": Whole(0, PARTS_LIMIT - 1),
-    "parts": Whole(1, PARTS_LIMIT),
+    "part": Integer(0, PARTS_LIMIT - 1),
+    "parts": Integer(1, PARTS_LIMIT),
     "data": Text(r"[A-Za-z0-9+/=]*", "base64"),
 }
 
 
 class Snapshot:
-    """A complete snapshot that was read from the log.
+    """A complete snapshot.
 
     Parameters
     ----------
     applied_offset : int
-        Offset that it stands for.
+        Offset of the last record that the snapshot includes.
     format_version : int
-        Format of its records, the floor at that offset.
+        Format of the snapshot's records, which is the format floor at that offset.
     content : bytes
-        The JSON that `restore` reads.
+        JSON that `restore` reads.
     """
 
     __slots__ = ("applied_offset", "content", "format_version")
@@ -59,12 +59,13 @@
 
 
 class SnapshotAssembler:
-    """Puts the parts of snapshots together.
+    """Assembles snapshots from their parts.
 
     Notes
     -----
-    Parts of two writers are interchangeable if their content is the same.  A writer
-    that died half way leaves parts that are dropped once a newer snapshot is whole.
+    Parts from different writers are interchangeable if the content is the same.  The
+    parts of a writer that died before the last part are dropped when a newer snapshot
+    is complete.
     """
 
     __slots__ = ("_parts",)
@@ -73,7 +74,7 @@
         self._parts = {}
 
     def add(self, record):
-        """Add a record; return the `Snapshot` that it completes, or None."""
+        """Add a record and return the `Snapshot` that it completes, or None."""
         part = _read_part(record.body)
         if part is None:
             return None
@@ -133,18 +134,23 @@
 
 
 def encode_snapshot(fold, record_limit_bytes):
-    """Return the bodies of the records that hold a snapshot of a fold.
+    """Return the record bodies of a snapshot of a fold.
 
     Parameters
     ----------
     fold : Fold
-        The fold; it isn't changed.
+        The fold; not modified.
     record_limit_bytes : int
-        Longest body.
+        Maximum length of a body.
+
+    Returns
+    -------
+    list of bytes
+        One body per part.
     """
     content = snapshot_content(fold)
     digest = hashlib.sha256(content).hexdigest()
-    # Base64 makes four bytes of three.
+    # Base64 encodes three bytes as four.
     size = (record_limit_bytes - ENVELOPE_BYTES) // 4 * 3
     slices = [content[start : start + size] for start in range(0, len(content), size)]
     return [
@@ -164,19 +170,19 @@
 
 
 def restore(snapshot, known_format):
-    """Return the `Fold` that a snapshot stands for.
+    """Return the `Fold` that a snapshot contains.
 
     Parameters
     ----------
     snapshot : Snapshot
         A complete snapshot.
     known_format : int
-        Newest format that this program can read.
+        Newest record format that this program can read.
 
     Raises
     ------
     RecordError
-        If the snapshot's format is newer, or its content can't be read.
+        If the snapshot has a newer format, or its content is invalid.
     """
     if snapshot.format_version > known_format:
         message = f"a snapshot has format {snapshot.format_version}"
@@ -223,10 +229,11 @@
 
 
 def contradicts(fold, record):
-    """Return whether a record is a part of a snapshot that another fold wrote.
+    """Return whether a record is part of a snapshot that differs from a fold.
 
-    Two nodes that fold one log to different contents break the promise that a
-    configuration is the same everywhere; comparing here is how one would notice.
+    Only snapshots at the applied offset of the fold are compared.  A difference means
+    that two nodes folded the same log to different states, which violates the guarantee
+    that the configuration is the same on every node.
     """
     part = _read_part(record.body)
     if part is None or part["applied_offset"] != fold.applied_offset:
@@ -235,8 +242,8 @@
 
 
 def _read_part(body):
-    # Spares the parsing of every other record.
-    if _MARK not in body:
+    # Avoids parsing records of other kinds.
+    if _KIND_MARKER not in body:
         return None
     try:
         value = decode_body(body)
--- a/siskinthread/configuration/_state.py
+++ b/siskinthread/configuration/_state.py
@@ -1,4 +1,4 @@
-"""The state that accepted records fold to; read by every other sub-package."""
+"""State of the configuration after folding, used by the other sub-packages."""
 
 import hashlib
 
@@ -7,14 +7,14 @@
 
 
 class Access:
-    """What an account may do with a service.
+    """Access of an account to a service.
 
     Parameters
     ----------
     hosts : frozenset of str
-        Names of the hosts on which it may use the service.
+        Names of the hosts on which the account may use the service.
     priority : int or None
-        Of the most urgent policy that matches.
+        Priority of the most urgent matching policy; None if no policy matches.
     """
 
     __slots__ = ("hosts", "priority")
@@ -30,29 +30,27 @@
     Parameters
     ----------
     version : int
-        Offset of the last accepted record, -1 before the first.
+        Offset of the last accepted record; -1 before the first.
     objects : list
-        The objects in force.
+        Objects in force.
     homes_versions : dict of str to int
-        By service, the version that last changed the set of its homes.  Services that
-        are left out get `version`.
+        By service, the version that last changed the set of its homes; `version` for
+        omitted services.
     homes_changed_at_ms : dict of str to int
-        By service, the log's time of that version, Unix milliseconds.  Services that
-        are left out get 0.
-
+        By service, the log time of that version in Unix milliseconds; 0 for omitted
+        services.
     homes_histories : dict of str to list of Homes
-        By service, its homes of the last day.  Services that are left out have had
-        their present homes from the beginning.
+        By service, its homes within the maximum age of a key.  Omitted services have
+        had their current homes at all times.
 
     Attributes
     ----------
     hosts, services, accounts, placements, policies, limits, groups : dict
-        Objects by name, in the order of their names.
+        Objects by name, sorted by name.
 
     Notes
     -----
-    A state answers for its whole life as it did at first, so answers that take a scan
-    are kept.
+    A state is immutable, so the results of lookups that require a scan are cached.
     """
 
     __slots__ = (
@@ -104,7 +102,7 @@
         self._limits_by_account = {}
 
     def set_homes(self, histories):
-        """Set the homes' histories while the state is made; not to be used later."""
+        """Set the histories of homes; only to be used while the state is built."""
         self.homes_histories = dict(histories)
         latest = {name: history[-1] for name, history in histories.items()}
         self.homes_versions = {
@@ -117,7 +115,7 @@
         }
 
     def objects(self):
-        """Return all objects, by kind and name."""
+        """Return all objects, sorted by kind and name."""
         return [
             configured for kind in KINDS for configured in getattr(self, kind).values()
         ]
@@ -131,36 +129,36 @@
         return self._accounts_by_digest.get(digest_key(bearer_key))
 
     def service_for_model(self, model):
-        """Return the engine `Service` that answers for a model, or None."""
+        """Return the engine `Service` that serves a model, or None."""
         return self._services_by_model.get(model)
 
     def service_hosts(self, service_name):
-        """Return the sorted names of the hosts that placements give a service.
+        """Return the sorted names of the hosts that placements assign to a service.
 
-        These are the declared homes of its idempotency keys: they depend on the
-        configuration alone, never on which hosts are alive.  The list is shared: don't
-        change it.
+        These hosts are the homes of its idempotency keys: they depend only on the
+        configuration, never on which hosts are alive.  The list is cached and must not
+        be modified.
         """
         if service_name not in self._service_hosts:
             self._service_hosts[service_name] = self._find_service_hosts(service_name)
         return self._service_hosts[service_name]
 
     def homes_at(self, service_name, issued_at_ms):
-        """Return the homes of the idempotency keys that were issued at a time.
+        """Return the homes of idempotency keys issued at a given time.
 
         Parameters
         ----------
         service_name : str
             Name of a service.
         issued_at_ms : int
-            Time of the first issue of the key, Unix milliseconds.
+            Time of the first issue of the key, in Unix milliseconds.
 
         Returns
         -------
         homes_version : int
-            Version of the configuration that made these homes.
+            Version of the configuration that introduced these homes.
         hosts : list of str
-            Names of the hosts, sorted; empty if the service had none.
+            Sorted host names; empty if the service had no homes.
         """
         history = self.homes_histories.get(service_name)
         if history is None:
@@ -172,18 +170,18 @@
     def allowed_hosts(self, account_name, service_name):
         """Return the names of the hosts on which an account may use a service.
 
-        A frozenset, cached for the life of the state; empty if no policy allows it.
+        Returns a frozenset, cached with the state; empty if no policy allows access.
         """
         return self._access(account_name, service_name).hosts
 
     def priority(self, account_name, service_name):
-        """Return the priority of the most urgent policy that matches, or None."""
+        """Return the priority of the most urgent matching policy, or None."""
         return self._access(account_name, service_name).priority
 
     def account_limits(self, account_name):
-        """Return the `Limits` for an account, the strictest of those that match.
+        """Return the `Limits` of an account, or None if no limits match.
 
-        Where several match, each rate is the least of theirs.  None if there are none.
+        If several limits match, each rate is the minimum over them.
         """
         if account_name not in self._limits_by_account:
             self._limits_by_account[account_name] = self._find_limits(account_name)
@@ -222,8 +220,8 @@
 
     def _find_access(self, account_name, service_name):
         policies = self._find_policies(account_name, service_name)
-        # Shared between accounts: thousands of accounts with a set of hosts of their
-        # own for each service would take more memory than the whole process may have.
+        # Shared between accounts: for thousands of accounts, a separate set of hosts
+        # per account and service would exceed the memory limit of the process.
         shared_key = (service_name, *(policy.name for policy in policies))
         if shared_key not in self._shared_accesses:
             self._shared_accesses[shared_key] = Access(
@@ -266,15 +264,15 @@
 
 
 def digest_key(bearer_key):
-    """Return the SHA-256 of a bearer key, in hexadecimal."""
+    """Return the hexadecimal SHA-256 digest of a bearer key."""
     return hashlib.sha256(bearer_key.encode()).hexdigest()
 
 
 def _group_by_labels(hosts):
-    """Return pairs of labels and the names of the hosts that have them.
+    """Return pairs of labels and the names of the hosts with these labels.
 
-    Most hosts share their labels with others, so that a selector is matched with far
-    fewer dicts of labels than there are hosts.
+    Most hosts share their labels with other hosts, so a selector is matched against far
+    fewer label dicts than there are hosts.
     """
     groups = {}
     for host in hosts.values():
--- a/siskinthread/configuration/_verdict.py
+++ b/siskinthread/configuration/_verdict.py
@@ -1,10 +1,10 @@
-"""What the fold decided about one record."""
+"""Decisions of the fold about records."""
 
 import enum
 
 
 class Status(enum.StrEnum):
-    """The decision; the same on every node."""
+    """Decision about a record, identical on every node."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -20,15 +20,16 @@
     Parameters
     ----------
     status : Status
-        The decision.
+        Decision.
     offset : int
         Offset of the record.
     at_ms : int
-        The log's time of the record, Unix milliseconds.
+        Log time of the record, in Unix milliseconds.
     reason : str
-        Why it was not accepted; empty if it was.
+        Reason why the record was not accepted; empty for accepted records and
+        snapshots.
     change : Change, FloorChange or None
-        What the record holds, if it could be read.
+        Content of the record, if it could be read.
     """
 
     __slots__ = ("at_ms", "change", "offset", "reason", "status")
@@ -45,16 +46,16 @@
 
 
 class AcceptedId:
-    """A record id that was accepted, remembered against a retry.
+    """An accepted record id, kept to detect a retry.
 
     Parameters
     ----------
     offset : int
-        Offset of the record; the version that it made.
+        Offset of the record, which is the version that it created.
     at_ms : int
-        The log's time of the record, Unix milliseconds.
+        Log time of the record, in Unix milliseconds.
     content_digest : str
-        Digest of what the record did, to tell a retry from a reused id.
+        Digest of the change, to distinguish a retry from a reused id.
     """
 
     __slots__ = ("at_ms", "content_digest", "offset")
--- a/siskinthread/configuration/_view.py
+++ b/siskinthread/configuration/_view.py
@@ -1,16 +1,17 @@
-"""What the rest of a process sees of the configuration."""
+"""View of the configuration in force, shared with the rest of the process."""
 
 
 class ConfigurationView:
-    """Holds the newest state; its version only rises.
+    """Holds the newest state; its version never decreases.
 
     Attributes
     ----------
     state : State or None
-        The state in force; None until one is known.
+        State in force; None until one is known.
     confirmed_at_ms : int or None
-        This host's wall clock when the log was last known to hold nothing newer, Unix
-        milliseconds; None before.  It stands still in an outage.
+        Wall-clock time of this host at which the state was last known to be the newest
+        in the log, in Unix milliseconds; None before.  It doesn't advance during an
+        outage.
     """
 
     __slots__ = ("_listeners", "confirmed_at_ms", "state")
@@ -25,7 +26,13 @@
         self._listeners.append(callback)
 
     def confirm(self, at_ms):
-        """Note that at a time nothing newer than the state existed."""
+        """Record a time at which the state was the newest in the log.
+
+        Parameters
+        ----------
+        at_ms : int
+            Unix milliseconds; ignored if earlier than `confirmed_at_ms`.
+        """
         if self.confirmed_at_ms is None or at_ms > self.confirmed_at_ms:
             self.confirmed_at_ms = at_ms
 
--- a/siskinthread/configuration/operators.py
+++ b/siskinthread/configuration/operators.py
@@ -1,4 +1,4 @@
-"""What the operators' command line builds on; daemons don't import it."""
+"""Interface for the operators' command line; not imported by daemons."""
 
 from siskinthread.configuration._objects import KINDS
 from siskinthread.configuration._operations import PublishRequest
--- a/siskinthread/configuration/tests/explorer.py
+++ b/siskinthread/configuration/tests/explorer.py
@@ -1,8 +1,8 @@
-"""Enumerates interleavings of operators, the log's faults, snapshots and expiry.
+"""Enumeration of interleavings of operators, log faults, snapshots and expiry.
 
-Each operator is a coroutine that stops before every call to the log.  A run makes one
-choice after the other; the explorer repeats runs until every list of choices within
-the limits was taken.
+Each operator is a coroutine that suspends before every call to the log.  A run makes a
+sequence of choices; the explorer repeats runs until it has covered every sequence
+within the limits.
 """
 
 import random
@@ -27,7 +27,7 @@
 
 @types.coroutine
 def stop(call):
-    """Stop before a call; the driver goes on with ``send(None)``."""
+    """Suspend before a call; the driver resumes with ``send(None)``."""
     yield call
 
 
@@ -39,7 +39,7 @@
 
 
 def drive(coroutine):
-    """Run a coroutine that never has to wait to its end; return its result."""
+    """Run a coroutine that needs no event loop and return its result."""
     try:
         while True:
             coroutine.send(None)
@@ -48,7 +48,7 @@
 
 
 class SteppedLog(FakeLog):
-    """Stops before each call, and keeps all records that there ever were."""
+    """Suspends before each call and keeps the history of all records."""
 
     def __init__(self):
         super().__init__()
@@ -69,7 +69,7 @@
 
 
 class Operator:
-    """Runs ``publish`` with a file and runs it again after a crash."""
+    """Runs ``publish`` with a file, and again after a crash."""
 
     def __init__(self, log, name, files):
         self.log = log
@@ -87,7 +87,7 @@
         self._go_on()
 
     def step(self):
-        """Make the call that the operator stopped before, and stop at the next one."""
+        """Make the pending call and suspend before the next one."""
         self.calls += 1
         self._go_on()
 
@@ -104,8 +104,8 @@
             self.outcome = ended.value.outcome
 
 
-class World:
-    """One run: the log, two operators, and a node that follows all along."""
+class Simulation:
+    """One run: the log, two operators, and a node that follows the log throughout."""
 
     def __init__(self, files, events_limit, switches_limit):
         self.log = SteppedLog()
@@ -117,7 +117,7 @@
         self.running = None
 
     def actions(self):
-        """Return the steps that can come next, as pairs of a method and arguments."""
+        """Return the possible next steps as pairs of a method and arguments."""
         waiting = [item for item in self.operators if item.outcome is None]
         choices = [(self.step, (item,)) for item in waiting if self._may_run(item)]
         if self.log.held:
@@ -130,13 +130,13 @@
             choices.append((self.expire, ()))
         return choices
 
-    def step(self, operator, fate=None):
+    def step(self, operator, fault=None):
         if self.running not in (None, operator):
             self.switches_left -= 1
         self.running = operator
-        self.log.lose_answers = 1 if fate == "lost" else 0
-        self.log.hold_appends = 1 if fate == "held" else 0
-        self.events_left -= fate is not None
+        self.log.lose_answers = 1 if fault == "lost" else 0
+        self.log.hold_appends = 1 if fault == "held" else 0
+        self.events_left -= fault is not None
         operator.step()
 
     def crash(self, operator):
@@ -154,7 +154,7 @@
             self.log.expire(first)
 
     def observe(self):
-        """Let the node read; its version must only rise."""
+        """Let the node read and check that its version doesn't decrease."""
         fold = self.node.fold
         if fold is not None and fold.applied_offset + 1 == self.log.next_offset:
             return
@@ -163,7 +163,7 @@
         assert self.versions[-1] >= self.versions[-2], "the state was set back"
 
     def finish(self):
-        """Let late appends land, and return the fold of a node that starts now."""
+        """Let held appends take effect and return the fold of a node started now."""
         self.log.release()
         self.observe()
         late = LogReader(self.log, "configuration")
@@ -177,14 +177,14 @@
 
 
 def explore(make_world, check):
-    """Run every list of choices once; return the number of runs.
+    """Run every sequence of choices once and return the number of runs.
 
     Parameters
     ----------
     make_world : callable
-        Returns a fresh `World`.
+        Returns a fresh `Simulation`.
     check : callable
-        Called with each world at its end.
+        Called with each simulation when it has finished.
     """
     runs = 0
     prefix = []
--- a/siskinthread/configuration/tests/fakes.py
+++ b/siskinthread/configuration/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A log in memory with the faults of the real one, and small configurations."""
+"""An in-memory log with injectable faults, and small configurations."""
 
 from siskinthread.configuration import (
     Account,
@@ -17,16 +17,16 @@
 
 
 class FakeLog:
-    """Takes the place of `siskinthread.shared_services.LogClient`.
+    """Replaces `siskinthread.shared_services.LogClient`.
 
     Attributes
     ----------
     down : bool
-        Reads and appends fail without effect.
+        Whether reads and appends fail without effect.
     lose_answers : int
-        Appends that take effect without an answer.
+        Number of next appends that take effect but whose answers are lost.
     hold_appends : int
-        Appends that fail and are kept in `held`; `release` lets them take effect.
+        Number of next appends that fail and are kept in `held` until `release`.
     """
 
     def __init__(self):
@@ -44,7 +44,7 @@
         return self.first_offset + len(self.records)
 
     def put(self, body):
-        """Append without faults; return the offset."""
+        """Append a record without faults and return its offset."""
         offset = self.next_offset
         self.records.append(LogRecord(offset, self.at_ms, body))
         self.at_ms += STEP_MS
--- a/siskinthread/configuration/tests/naive_replay.py
+++ b/siskinthread/configuration/tests/naive_replay.py
@@ -1,8 +1,8 @@
-"""A naive replay of records on plain dicts, to compare the fold with.
+"""A naive replay of records on plain dicts, as a reference for the fold.
 
-It shares the reading of single records with the fold, since that is compared with a
-golden file, and nothing else: versions, ids, floors, checks between objects and homes
-are written anew in the most obvious way.
+It shares only the parsing of single records with the fold, because the parsing is
+compared with a golden file.  Versions, ids, floors, checks between objects and homes
+are reimplemented in the simplest way.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 
 class NaiveReplay:
-    """Applies records one by one and remembers everything."""
+    """Applies records one by one and drops no history."""
 
     def __init__(self, known_format):
         self.known_format = known_format
@@ -30,7 +30,7 @@
         self.homes = {}
 
     def apply(self, offset, at_ms, body):
-        """Return the status of a record."""
+        """Apply a record and return its status."""
         try:
             value = json.loads(body)
             if value["format"] > self.floor:
@@ -55,7 +55,7 @@
             self.objects = objects
         self.version = offset
         self.ids.add(change.record_id)
-        self.note_homes(offset)
+        self.record_homes(offset)
         return "accepted"
 
     def changed(self, change):
@@ -67,27 +67,36 @@
         for item in change.put:
             kind = KIND_OF_CLASS[type(item).__name__]
             objects[kind, item.name] = plain_object(item)
-        models = [m for plain in self.of(objects, "services") for m in plain["models"]]
+        models = [
+            m
+            for plain in self.objects_of_kind(objects, "services")
+            for m in plain["models"]
+        ]
         digests = [
             digest
-            for plain in self.of(objects, "accounts")
+            for plain in self.objects_of_kind(objects, "accounts")
             for digest in plain["key_digests"]
         ]
         unique = len(set(models)) == len(models) and len(set(digests)) == len(digests)
         return objects if unique else None
 
-    def of(self, objects, kind):
+    def objects_of_kind(self, objects, kind):
         return [plain for key, plain in objects.items() if key[0] == kind]
 
-    def note_homes(self, offset):
-        """Remember every set of homes that each service ever had."""
-        zones = [plain["hosts"][5:] for plain in self.of(self.objects, "placements")]
+    def record_homes(self, offset):
+        """Record every change of the set of homes of each service."""
+        zones = [
+            plain["hosts"][5:]
+            for plain in self.objects_of_kind(self.objects, "placements")
+        ]
         hosts = sorted(
             plain["name"]
-            for plain in self.of(self.objects, "hosts")
+            for plain in self.objects_of_kind(self.objects, "hosts")
             if plain["labels"]["zone"] in zones
         )
-        services = {plain["name"] for plain in self.of(self.objects, "services")}
+        services = {
+            plain["name"] for plain in self.objects_of_kind(self.objects, "services")
+        }
         for name in services | self.homes.keys():
             homes = hosts if name in services else []
             sets = self.homes.setdefault(name, [])
@@ -95,5 +104,5 @@
                 sets.append((offset, homes))
 
     def homes_versions(self):
-        services = self.of(self.objects, "services")
+        services = self.objects_of_kind(self.objects, "services")
         return {plain["name"]: self.homes[plain["name"]][-1][0] for plain in services}
--- a/siskinthread/configuration/tests/nodes.py
+++ b/siskinthread/configuration/tests/nodes.py
@@ -24,7 +24,7 @@
 
 
 class Node:
-    """A follower with its view, on a clock that stands still."""
+    """A follower with its view and a manual clock."""
 
     def __init__(self, log, known_format=1, peers=None, **settings):
         self.clock = ManualClock(unix_ms=START_MS)
--- a/siskinthread/configuration/tests/test_commands.py
+++ b/siskinthread/configuration/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands, from files to exit codes."""
+"""Tests of the operators' commands, from files to exit codes."""
 
 import io
 import json
@@ -36,7 +36,10 @@
 
 @pytest.fixture
 def config(tmp_path, capsys):
-    """Return a function that runs ``config`` on file texts; JSON comes back parsed."""
+    """Return a function that runs ``config`` on file texts.
+
+    It returns the exit code and the parsed JSON output.
+    """
 
     def run(command, *texts, options=(), log=True):
         files = []
@@ -53,7 +56,7 @@
 
 
 def test_check_reports_all_problems_with_their_places(config):
-    """Each faulty field is reported with file, line and column, all at once."""
+    """All invalid fields are reported at once, with line and column."""
     text = """{
 "hosts": [{"name": "a b"}, {"name": "c", "labels": {"k": 1}}, {"name": "d"}],
 "policies": [{"name": "q", "accounts": "x in (", "services": "", "prio": 0}],
@@ -68,10 +71,10 @@
 
 
 def test_check_finds_what_does_not_fit_together(config, log):
-    """Objects are checked against each other, and with a log, against its state."""
+    """Objects are checked against each other and, given a log, against its state."""
     group = '{"groups": [{"name": "g", "service": "llm", "hosts": "hall=x"}]}'
     llm = '{"services": [{"name": "llm", "kind": "engine", "models": ["m"]}]}'
-    twice = '{"services": [{"name": "n", "kind": "engine", "models": ["m"]}]}'
+    duplicate_model = '{"services": [{"name": "n", "kind": "engine", "models": ["m"]}]}'
     assert config("check", group, log=False)[0] == 2
     code, plain = config("check", group, llm, log=False)
     assert code == 0
@@ -79,11 +82,11 @@
     assert config("publish", llm)[0] == 0
     assert config("check", group)[0] == 0
     with pytest.raises(DocumentError, match="'llm' too|'n' too"):
-        config("publish", twice)
+        config("publish", duplicate_model)
 
 
 def test_publish_again_after_success_publishes_nothing(config, log):
-    """The same command twice makes one version."""
+    """Repeating a command doesn't create a second version."""
     assert config("publish", FIRST)[1]["outcome"] == "accepted"
     code, plain = config("publish", FIRST)
     assert (code, plain["outcome"], plain["version"]) == (0, "in_force", 0)
@@ -91,10 +94,10 @@
 
 
 def test_rerun_after_a_crash_does_not_undo_a_newer_change(config, log):
-    """Symptom: a change that was overwritten comes back.
+    """Guards against an overwritten change that takes effect again.
 
-    Events: an operator publishes and loses the terminal; another one changes the same
-    object; the first runs the command again to be sure.
+    An operator publishes and loses the terminal, another operator changes the same
+    object, and the first operator repeats the command.
     """
     for options in ([], ["--id", "move-7"]):
         name = f"h{len(options)}"
@@ -112,7 +115,7 @@
 
 
 def test_name_used_for_other_content_is_refused(config, log):
-    """One name stands for one publication."""
+    """A name can't be reused for a publication with other content."""
     options = ["--id", "move-7"]
     assert config("publish", FIRST, options=options)[0] == 0
     other = FIRST.replace("breidholt", "hafnarfjordur")
@@ -120,7 +123,7 @@
 
 
 def test_conflict_and_unknown_have_their_exit_codes(config, log, tmp_path):
-    """3 if another change came first; 4 if the log gave no answer in time."""
+    """3 if another change was accepted first; 4 if the log didn't answer in time."""
     log.put(body("r0", -1, [host("h1")], author="bo"))
     code, plain = config("publish", FIRST, options=["--expect", "-1"])
     assert (code, plain["author"]) == (3, "bo")
@@ -133,7 +136,7 @@
 
 
 def test_diff_replace_and_removed(config, log):
-    """Unlisted objects stay, unless kinds that the files list are replaced."""
+    """Unlisted objects are kept, unless ``--replace`` is given for listed kinds."""
     assert config("publish", FIRST)[0] == 0
     one = '{"hosts": [{"name": "h1", "labels": {}}], "removed": ["hosts/h2"]}'
     plain = config("diff", one)[1]
@@ -146,7 +149,7 @@
 
 
 def test_show_and_history(config, log):
-    """What is in force, and what became of each record, is shown."""
+    """``show`` prints the state in force, ``history`` the verdict on each record."""
     log.put(b"junk")
     assert config("publish", FIRST, options=["--author", "eva"])[0] == 0
     code, plain = config("show", options=["hosts/h1"])
@@ -157,7 +160,7 @@
 
 
 def test_digest_key_reads_the_key_from_standard_input(capsys, monkeypatch):
-    """The key itself is never an argument."""
+    """The key is read from standard input and never passed as an argument."""
     monkeypatch.setattr("sys.stdin", io.StringIO("secret\n"))
     assert cappa.invoke(ConfigCommand, argv=["digest-key"]) is None
     assert capsys.readouterr().out.strip() == digest_key("secret")
--- a/siskinthread/configuration/tests/test_fold.py
+++ b/siskinthread/configuration/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""The fold against a naive replay, a golden file, and records of mixed versions."""
+"""Tests of the fold: naive replay, golden file, records of mixed versions."""
 
 import json
 from pathlib import Path
@@ -56,7 +56,10 @@
 
 
 def bodies():
-    """Strategy of one record: mostly changes, some floors, newer formats, garbage."""
+    """Return a strategy for one record body.
+
+    Most bodies are changes; some are floors, newer formats or garbage.
+    """
     versions = st.integers(-1, 12)
     record_ids = st.integers(0, 9).map(lambda number: f"id{number}")
     removed = st.tuples(
@@ -89,8 +92,8 @@
     return st.one_of(*[encoded] * 8, floors, newer, garbage)
 
 
-def fitting(record_bodies, versions_fit):
-    """Yield bodies, many of them with the version that the fold expects there."""
+def with_matching_versions(record_bodies, versions_fit):
+    """Yield bodies, with the expected version of the fold set in many of them."""
     replay = NaiveReplay(3)
     for offset, (raw, fits) in enumerate(zip(record_bodies, versions_fit, strict=True)):
         if fits and raw.startswith(b"{") and b"expected_version" in raw:
@@ -109,14 +112,14 @@
     fits = [draw > 0 for _, draw in sequence]
     return [
         LogRecord(offset, START_MS + offset, raw)
-        for offset, raw in enumerate(fitting(raws, fits))
+        for offset, raw in enumerate(with_matching_versions(raws, fits))
     ]
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(SEQUENCES)
 def test_fold_agrees_with_naive_replay(sequence):
-    """Status of each record, version, objects and homes are those of the replay."""
+    """The status of each record, version, objects and homes equal the replay's."""
     fold, replay = Fold(known_format=3), NaiveReplay(3)
     for record in records_of(sequence):
         verdict = fold.apply(record)
@@ -136,7 +139,7 @@
 @settings(derandomize=True, deadline=None, max_examples=100)
 @given(SEQUENCES, st.integers(0, 14), st.integers(700, 3000))
 def test_snapshot_stands_for_the_records_before_it(sequence, cut, limit_bytes):
-    """A fold restored from the parts of a snapshot ends as one that read all."""
+    """A fold restored from a snapshot ends in the same state as a complete fold."""
     records = records_of(sequence)
     whole = Fold(known_format=3)
     for record in records[:cut]:
@@ -174,11 +177,10 @@
 
 
 def test_programs_of_two_versions_fold_alike_below_the_floor():
-    """Symptom: two nodes hold different states under one version.
+    """Guards against nodes with different states for the same version.
 
-    Events: a newer program publishes a record of format 2 while older ones run; the
-    newer ones know how to read it.  Cause: each program went by what it knew.  Both
-    must refuse the record, as the floor is 1.
+    A newer program publishes a record of format 2 while older programs run.  Both must
+    reject the record because the floor is 1, although the newer one can read it.
     """
     newer = json.loads(body("r2", 0, [host("h2")]))
     newer["format"] = 2
@@ -191,10 +193,11 @@
 
 
 def test_program_that_does_not_know_the_raised_floor_stops_there():
-    """Symptom: an old node refuses records that all others accept, and goes on.
+    """Guards against an old node that diverges after the floor is raised.
 
-    Events: the floor is raised to 2 and a record of format 2 follows.  Cause: the old
-    program folded on.  It must keep its last state and say why.
+    The floor is raised to 2, and a record of format 2 follows.  An old program that
+    continued would reject records that all others accept, so it must halt with its last
+    state and a reason.
     """
     floor = encode_floor(FloorChange("f", "ada", "", 0, 2))
     old, new = Fold(known_format=1), Fold(known_format=2)
@@ -209,10 +212,10 @@
 
 
 def test_repeated_id_is_refused_even_when_its_version_fits():
-    """Symptom: a change that was overwritten comes back.
+    """Guards against an overwritten change that takes effect again.
 
-    Events: id r1 is published, another change follows, and r1 is published anew upon
-    that.  Cause: only the expected version was looked at.
+    Id r1 is published, another change follows, and r1 is published again with the new
+    version.  A check of the expected version alone would accept it.
     """
     fold = Fold()
     verdicts = apply_all(
@@ -226,7 +229,7 @@
 
 
 def test_ids_are_forgotten_only_when_old_and_many():
-    """A forward jump of the log's clock alone forgets no recent id."""
+    """A forward jump of the log's clock alone doesn't drop recent ids."""
     fold = Fold()
     for version in range(-1, IDS_KEPT + 4):
         fold.apply(LogRecord(version + 1, START_MS, body(f"r{version}", version)))
@@ -254,13 +257,13 @@
     ],
 )
 def test_unreadable_records_are_refused_as_values(raw):
-    """Whatever a record holds, it gets a verdict and the fold goes on."""
+    """Every invalid record gets a verdict, and the fold continues."""
     fold = Fold()
     assert apply_all(fold, raw)[0].status is Status.INVALID
     assert apply_all(fold, body("r", -1))[0].status is Status.ACCEPTED
 
 
 def test_only_the_next_record_can_be_folded():
-    """A hole in the records is a broken invariant."""
+    """A gap in the records raises `InvariantError`."""
     with pytest.raises(InvariantError):
         Fold().apply(LogRecord(1, START_MS, b""))
--- a/siskinthread/configuration/tests/test_follower.py
+++ b/siskinthread/configuration/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Following the log through outages, expiry, and a log that lost records."""
+"""Tests of following the log during outages, expiry and loss of records."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 def snapshot_into(log):
-    """Append a snapshot of a log to it."""
+    """Append a snapshot of the log's state to the log."""
     node = Node(log)
     node.step()
     for part in encode_snapshot(node.fold, 4096):
@@ -36,9 +36,9 @@
 
 
 def test_outage_at_the_start_leaves_no_state_until_the_log_is_back():
-    """Symptom: a node starts in an outage and serves an empty configuration.
+    """Guards against a node that serves an empty configuration.
 
-    Events: the process starts, the log is down, and comes back.
+    The process starts while the log is down, and the log recovers later.
     """
     log = changed_log(2)
     log.down = True
@@ -53,7 +53,7 @@
 
 
 def test_outage_keeps_the_last_state():
-    """A node that has a state goes on with it, and knows how old it is."""
+    """A node keeps its state during an outage, with the time of its confirmation."""
     log = changed_log(2)
     node = Node(log)
     node.step()
@@ -85,10 +85,10 @@
 
 
 def test_shortened_log_is_reported_and_never_lowers_the_state():
-    """Symptom: a configuration that was in force is gone.
+    """Guards against the loss of a configuration that was in force.
 
-    Events: the log loses its tail; a node that holds the lost records reads on.
-    Cause: the node took the shorter log for the truth.
+    The log loses its tail, and a node that folded the lost records continues to read.
+    It must not adopt the shorter history.
     """
     log = changed_log(4)
     node = Node(log)
@@ -100,10 +100,10 @@
 
 
 def test_log_that_grew_again_after_it_was_shortened_is_not_followed():
-    """Symptom: two nodes hold different states, both of one version.
+    """Guards against nodes with different states for the same version.
 
-    Events: between two reads the log loses two records and gets three others, so that
-    its end lies beyond what the node applied.  Cause: only offsets were compared.
+    Between two reads the log loses two records and gets three others, so that it ends
+    beyond the applied offset.  A comparison of offsets alone doesn't detect this.
     """
     log = changed_log(4)
     node = Node(log)
@@ -118,10 +118,10 @@
 
 
 def test_snapshot_of_a_shorter_history_does_not_set_back():
-    """Symptom: a node jumps back to an older version.
+    """Guards against a node that reverts to an older version.
 
-    Events: the log loses its tail, is written on and snapshotted; the node, which holds
-    the lost records, was away so long that it has to start from that snapshot.
+    The log loses its tail, grows again and gets a snapshot.  The node, which folded the
+    lost records, has been away so long that it must restart from this snapshot.
     """
     log = changed_log(9)
     node = Node(log)
@@ -138,47 +138,47 @@
 
 
 def test_retention_overrun_without_snapshot_is_a_gap():
-    """Symptom: a node starts with half a configuration.
+    """Guards against a node that folds only the remaining part of a log.
 
-    Events: the first records expired before anyone wrote a snapshot; a node starts,
-    and one that slept wakes.  Cause: they folded what was left.
+    The first records expire before a snapshot is written.  One node starts, and another
+    resumes after a pause; both must report a gap.
     """
     log = changed_log(5)
-    slept = Node(log)
+    paused = Node(log)
     log.truncate(2)
-    slept.step()
+    paused.step()
     log = changed_log(5)
-    slept.follower._reader._client = log
+    paused.follower._reader._client = log
     log.expire(3)
     started = Node(log)
-    for node, version in ((started, None), (slept, 1)):
+    for node, version in ((started, None), (paused, 1)):
         node.step()
         assert node.troubles("gap") == 1
         assert node.version == version
 
 
 def test_node_behind_the_retention_goes_on_from_a_snapshot():
-    """A node that slept past the retention, and one that starts, use the snapshot."""
+    """A node paused beyond the retention and a starting node use the snapshot."""
     log = changed_log(3)
-    slept = Node(log)
-    slept.step()
+    paused = Node(log)
+    paused.step()
     log.put(body("r3", 2, [host("h9", v="last")]))
     snapshot_into(log)
     log.expire(4)
     log.put(body("r4", 3, [host("h10")]))
     started = Node(log)
-    for node in (slept, started):
+    for node in (paused, started):
         node.step()
         assert node.version == 5
         assert "r0" in node.fold.accepted_ids
-    assert snapshot_content(slept.fold) == snapshot_content(started.fold)
+    assert snapshot_content(paused.fold) == snapshot_content(started.fold)
 
 
 def test_incomplete_or_damaged_snapshot_is_passed_over():
-    """Symptom: a node starts from half a snapshot.
+    """Guards against a node that starts from an incomplete snapshot.
 
-    Events: a writer dies after the first of its parts, or a part is damaged.  The
-    older complete snapshot has to count.
+    A writer dies after the first part, or a part is damaged.  The older complete
+    snapshot must be used.
     """
     log = changed_log(2)
     for index in range(30):
@@ -204,7 +204,7 @@
 
 
 def test_snapshot_is_written_well_before_expiry_and_again():
-    """The first record's half-life is never passed without a snapshot; nor the next."""
+    """Each snapshot is written before the oldest record reaches half the retention."""
     log = changed_log(2)
     node = Node(log, retention_s=DAY_S)
     node.step()
@@ -223,9 +223,9 @@
 
 
 def test_another_nodes_snapshot_cancels_the_own_one():
-    """Symptom: a thousand nodes write a thousand snapshots.
+    """Guards against every node writing a snapshot at the same time.
 
-    Events: a node's deadline is near when it sees the snapshot of another.
+    The deadline of a node is near when it sees the snapshot of another node.
     """
     log = changed_log(2)
     first, second = Node(log), Node(log)
@@ -242,7 +242,7 @@
 
 
 def test_many_records_bring_the_next_snapshot_forward():
-    """A starting node never has many more records to fold than the limit."""
+    """Reaching the record limit bounds the records that a starting node folds."""
     settings = ConfigurationSettings(snapshot_after_records=5, snapshot_spread_s=60.0)
     clock = ManualClock(unix_ms=START_MS)
     schedule = SnapshotSchedule(settings, clock, random.Random(1))
@@ -253,9 +253,9 @@
 
 
 def test_node_whose_clock_is_far_ahead_does_not_write_all_the_time():
-    """Symptom: one node fills the log with snapshots.
+    """Guards against a node that fills the log with snapshots.
 
-    Events: its clock is a day ahead, so every record looks expired to it.
+    Its clock is a day ahead, so it considers every record expired.
     """
     log = changed_log(2)
     node = Node(log)
@@ -265,9 +265,9 @@
 
 
 def test_differing_snapshot_is_reported():
-    """Symptom: two nodes disagree and nobody knows.
+    """Guards against an undetected difference between the states of two nodes.
 
-    Events: another node's snapshot of the same offset has other content.
+    The snapshot of another node at the same offset has different content.
     """
     log = changed_log(2)
     node = Node(log)
@@ -285,7 +285,7 @@
 
 @pytest.mark.parametrize("running", [True, False])
 def test_raised_format_halts_an_old_node(running):
-    """An old node keeps the state it runs on; one that starts isn't ready."""
+    """A running old node keeps its state; a starting old node gets no state."""
     log = changed_log(2)
     node = Node(log)
     if running:
@@ -298,7 +298,7 @@
 
 
 def test_snapshot_of_a_newer_format_is_not_read():
-    """An old node doesn't start from a snapshot that it can't know the meaning of."""
+    """An old node doesn't start from a snapshot of a format that it can't read."""
     log = changed_log(2)
     log.put(encode_floor(FloorChange("floor", "ada", "", 1, 2)))
     writer = Node(log, known_format=2)
--- a/siskinthread/configuration/tests/test_homes.py
+++ b/siskinthread/configuration/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Homes of idempotency keys while placements change."""
+"""Tests of the homes of idempotency keys while placements change."""
 
 from siskinthread.configuration import HOMES_SETTLE_S, Placement, Selector
 from siskinthread.configuration._fold import Fold
@@ -11,7 +11,11 @@
 
 
 def folded(*changes):
-    """Fold pairs of a time after the start, milliseconds, and a change's contents."""
+    """Return the state after changes.
+
+    Each change is a tuple of the time since the start in milliseconds, the objects to
+    put and the objects to remove.
+    """
     fold = Fold()
     for offset, (after_ms, put, removed) in enumerate(changes):
         raw = body(f"r{offset}", offset - 1, put, removed)
@@ -21,10 +25,10 @@
 
 
 def test_retry_goes_to_the_home_of_its_first_issue():
-    """Symptom: a keyed request runs twice.
+    """Guards against a keyed request that runs twice.
 
-    Events: a key is issued and runs at its home, the answer is lost, a placement
-    moves the homes, and the retry goes to the new home.
+    The request runs at the home of its key, the answer is lost, a change of placement
+    moves the homes, and the retry must not go to the new home.
     """
     moved_ms = 100_000
     state = folded(
@@ -41,10 +45,10 @@
 
 
 def test_service_published_again_does_not_forget_its_earlier_homes():
-    """Symptom: a keyed request runs twice after a service was removed and came back.
+    """Guards against a keyed request that runs twice after its service was removed.
 
-    Events: as above, but the service is removed and published again with other hosts.
-    Cause: its history went with it, and the new homes counted from the beginning.
+    The service is removed and published again with other hosts.  If its history were
+    dropped, the new homes would apply to earlier keys too.
     """
     state = folded(
         (0, first_objects(), []),
@@ -58,13 +62,13 @@
 
 
 def test_change_that_leaves_the_homes_alone_moves_nothing():
-    """A version that changes labels only doesn't count as a change of homes."""
+    """A version that changes only labels isn't a change of homes."""
     state = folded((0, first_objects(), []), (9, [host("h1", zone="b")], []))
     assert state.homes_versions == {"varsel": 0}
 
 
 def test_first_homes_count_from_the_beginning():
-    """A service that was published before its placement takes keys at once."""
+    """The first homes of a service apply to keys issued before its placement."""
     placement = Placement("p", {}, Selector(""), Selector("zone in (a,b)"))
     without = [item for item in first_objects() if not isinstance(item, Placement)]
     state = folded((0, without, []), (5, [placement], []))
@@ -72,7 +76,7 @@
 
 
 def test_old_homes_are_dropped_when_no_key_can_be_as_old():
-    """The history of a service doesn't grow without end."""
+    """The history of a service is bounded."""
     changes = [(0, first_objects(), [])]
     for day in range(1, 4):
         put = [host(f"n{day}", zone="a")]
--- a/siskinthread/configuration/tests/test_peers.py
+++ b/siskinthread/configuration/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Passing records between processes: in an outage, at the start, to spare the log."""
+"""Tests of the exchange of records: in an outage, at the start, to offload the log."""
 
 import threading
 
@@ -31,7 +31,7 @@
 
 
 class FakePeers(Peers):
-    """Asks other nodes, with every message written to bytes and read back."""
+    """Asks other nodes; serializes and deserializes every message."""
 
     def __init__(self, *nodes, reads_log=True):
         self.nodes = list(nodes)
@@ -46,19 +46,19 @@
         return [deserialize(ConfigurationUpdate(), serialize(item)) for item in updates]
 
 
-def running(log):
+def running_node(log):
     node = Node(log)
     node.step()
     return node
 
 
 def test_node_that_starts_in_an_outage_starts_from_a_peer():
-    """Symptom: a domain that is cut off loses a host's worth of capacity at a restart.
+    """Guards against lost capacity in an isolated domain after a restart.
 
-    Events: the log is down; a host is replaced while its peers run on.
+    The log is down, and a host is replaced while its peers keep running.
     """
     log = changed_log(4)
-    peer = running(log)
+    peer = running_node(log)
     log.down = True
     started = Node(log, peers=FakePeers(peer))
     started.step()
@@ -71,13 +71,13 @@
 
 
 def test_node_that_starts_with_a_shortened_log_takes_the_peers_state():
-    """Symptom: after a restart a node serves a configuration that was replaced.
+    """Guards against a restarted node that serves a replaced configuration.
 
-    Events: the log loses its tail, a host is replaced and reads the shorter log.
-    Cause: the starting node asked nobody who knew more.
+    The log loses its tail, and a new host reads the shorter log.  It must ask its
+    peers, which have the newer state.
     """
     log = changed_log(4)
-    peer = running(log)
+    peer = running_node(log)
     log.truncate(2)
     started = Node(log, peers=FakePeers(peer))
     seen = []
@@ -88,11 +88,11 @@
 
 
 def test_node_that_starts_takes_the_highest_of_several_peers():
-    """Of several answers the one with the most records counts, in any order."""
+    """The newest of several answers is used, whatever their order."""
     log = changed_log(5)
-    ahead = running(log)
+    ahead = running_node(log)
     log.truncate(2)
-    behind = running(log)
+    behind = running_node(log)
     log.down = True
     for peers in ([ahead, behind], [behind, ahead]):
         started = Node(log, peers=FakePeers(*peers))
@@ -101,13 +101,13 @@
 
 
 def test_others_get_records_from_a_reader_and_leave_the_log_alone():
-    """Symptom: a thousand processes poll the log.
+    """Guards against every process polling the log.
 
-    Events: a reader follows the log; the others ask it.  When it dies, they notice by
-    its confirmations, which stop, and read the log themselves.
+    A reader follows the log, and the others ask the reader.  When it dies, its
+    confirmations stop, and the others read the log themselves.
     """
     log = changed_log(2)
-    reader = running(log)
+    reader = running_node(log)
     other = Node(log, peers=FakePeers(reader, reads_log=False))
     other.step()
     reads = log.reads
@@ -129,13 +129,13 @@
 
 
 def test_snapshots_are_not_passed_on():
-    """Symptom: readers send tens of megabytes whenever a snapshot is written.
+    """Guards against readers that send tens of megabytes after each snapshot.
 
-    Events: a reader sees a snapshot, which the others have no use for.  They must still
-    know of it, so that none of them writes one when it becomes a reader.
+    Other nodes don't need the snapshot's content.  They must still learn its offset, so
+    that none of them writes a snapshot when it becomes a reader.
     """
     log = changed_log(2)
-    reader = running(log)
+    reader = running_node(log)
     peers = FakePeers(reader, reads_log=False)
     other = Node(log, peers=peers)
     other.step()
@@ -153,17 +153,17 @@
 
 
 def test_records_of_another_history_are_not_merged():
-    """Symptom: two nodes hold different states under one version.
+    """Guards against nodes with different states for the same version.
 
-    Events: the log lost records and was written on; one node holds the old tail and
-    another, which started later, the new one.  Cause: only offsets were compared.
+    The log lost records and grew again.  One node has the old tail, and another, which
+    started later, has the new tail.  A comparison of offsets alone doesn't detect this.
     """
     log = changed_log(4)
-    old = running(log)
+    old = running_node(log)
     log.truncate(3)
     log.put(body("other", 2, [host("x")]))
     log.put(body("more", 3, [host("y")]))
-    new = running(log)
+    new = running_node(log)
     log.down = True
     for asking, answering in ((old, new), (new, old)):
         asking.follower._exchange._peers = FakePeers(answering)
@@ -202,7 +202,7 @@
     st.integers(600, 4096),
 )
 def test_any_order_of_exchanges_agrees_with_the_log(lengths, pairs, limit_bytes):
-    """However nodes exchange, each holds a beginning of the log, and none goes back."""
+    """After any exchanges, each node has a prefix of the log, and none goes back."""
     nodes = [fold_of(RECORDS[:length]) for length in lengths]
     for asking, answering in pairs:
         fold, recent = nodes[asking]
@@ -219,7 +219,7 @@
 
 
 def test_late_answers_and_damaged_snapshots_change_nothing():
-    """An answer to an older question, or half a snapshot, is left aside."""
+    """An answer to an earlier request and an incomplete snapshot are ignored."""
     answerer = fold_of(RECORDS)
     fold, recent = fold_of(RECORDS[:3])
     late = answer(own_status(fold_of(RECORDS[:2])[0]), *answerer, 4096)
@@ -232,12 +232,13 @@
 
 
 def test_messages_with_missing_fields_change_nothing():
-    """Symptom: a node stays on its state for good, and its log says why only once.
+    """Guards against a node that stops following the log.
 
-    Events: a peer sends messages without the fields that they must have.
+    A peer sends messages without required fields.  An error in the task would end it,
+    and the node would keep its state forever after a single log line.
     """
     log = changed_log(2)
-    node = running(log)
+    node = running_node(log)
     whole = own_status(node.fold)
     ahead = ConfigurationStatus(9, "", None)
     damaged = [
@@ -262,7 +263,7 @@
 
 
 def test_node_far_behind_gets_a_snapshot():
-    """Records that the answerer no longer keeps are replaced by its whole state."""
+    """If the answering node no longer keeps the records, it sends a snapshot."""
     answerer = fold_of(chain_of_records(RECORDS_KEPT + 5))
     for length, by_snapshot in ((3, True), (10, False)):
         fold, recent = fold_of(chain_of_records(length))
@@ -272,13 +273,13 @@
 
 
 def test_state_from_a_peer_brings_the_next_snapshot_forward():
-    """Symptom: the log's last snapshot expires unnoticed after an outage.
+    """Guards against the expiry of the log's last snapshot after an outage.
 
-    Events: all hosts are replaced during an outage and start from one another, so that
-    none knows how old the newest snapshot in the log is.
+    All hosts are replaced during the outage and start from each other, so none knows
+    the age of the newest snapshot in the log.
     """
     log = changed_log(3)
-    peer = running(log)
+    peer = running_node(log)
     peer.follower._reader._recent = RecentRecords()
     log.down = True
     started = Node(log, peers=FakePeers(peer), snapshot_spread_s=60.0)
@@ -290,7 +291,7 @@
 
 
 def test_readers_are_few_and_stay_when_others_come_and_go():
-    """A host more or less changes one reader at most."""
+    """Removing a host changes at most one reader."""
     hosts = [f"host-{number}" for number in range(40)]
     readers = chosen_readers(hosts, 4)
     assert len(readers) == 4
@@ -300,18 +301,18 @@
 
 
 def test_answering_waits_while_a_thread_folds(monkeypatch):
-    """Symptom: a peer takes an offset for another history's and reports divergence.
+    """Guards against a peer that reports a divergence that doesn't exist.
 
-    Events: a record is folded in a thread; a peer asks when the offset has risen and
-    the chain has not.  Cause: the answer was read from a half-changed fold.
+    A record is folded in a thread, and a peer asks after the offset is updated but
+    before the chain is.  The answer must not be read from the partly updated fold.
     """
     log = FakeLog()
     log.put(body("r0", -1, [host(f"host-{number}") for number in range(400)]))
-    node = running(log)
+    node = running_node(log)
     request = ConfigurationRequest(own_status(node.fold))
     log.put(body("r1", 0, [host("late")]))
     in_thread, go_on = curio.UniversalEvent(), threading.Event()
-    chained = _fold._chained
+    chained = _fold._extend_chain
 
     def chained_slowly(chain, digest):
         in_thread.set()
@@ -328,7 +329,7 @@
         await follow.join()
         return await asking.join()
 
-    monkeypatch.setattr(_fold, "_chained", chained_slowly)
+    monkeypatch.setattr(_fold, "_extend_chain", chained_slowly)
     update = curio.run(run)
     assert update.status.applied_offset == 1
     assert update.status.chain == node.fold.chain
--- a/siskinthread/configuration/tests/test_publisher.py
+++ b/siskinthread/configuration/tests/test_publisher.py
@@ -1,4 +1,4 @@
-"""Publishing with lost, late and failed appends."""
+"""Tests of publishing with lost, late and failed appends."""
 
 import random
 
@@ -6,11 +6,11 @@
 
 from siskinthread.configuration import ConfigurationSettings
 from siskinthread.configuration._publisher import (
-    LostConflict,
-    NotKnown,
+    Conflict,
+    OutcomeUnknown,
     Published,
     Publisher,
-    Refused,
+    Rejected,
 )
 from siskinthread.configuration.tests.fakes import body, change, FakeLog, host
 from siskinthread.configuration.tests.nodes import changed_log, Node
@@ -26,10 +26,10 @@
 
 
 def test_lost_append_answer_is_found_in_the_log():
-    """Symptom: one change stands in the log twice.
+    """Guards against a change that is appended twice.
 
-    Events: the append takes effect and its answer is lost.  Cause: the publisher
-    appended again without reading the log for its record id.
+    The append takes effect and its answer is lost.  The publisher must search the log
+    for its record id before it appends again.
     """
     log = FakeLog()
     log.lose_answers = 1
@@ -40,10 +40,10 @@
 
 
 def test_append_that_lands_late_changes_nothing():
-    """Symptom: an overwritten change comes back minutes later.
+    """Guards against an overwritten change that takes effect again minutes later.
 
-    Events: an append gets no answer and hangs in the network, the publisher appends
-    again and is accepted, another change follows, and then the first copy lands.
+    An append is delayed in the network without an answer, the publisher appends again
+    and is accepted, another change follows, and then the first copy takes effect.
     """
     log = FakeLog()
     log.hold_appends = 1
@@ -57,36 +57,36 @@
 
 
 def test_conflict_names_the_winner_and_appends_nothing():
-    """A change for a version that is no longer in force isn't appended."""
+    """A change for a version that is no longer in force is not appended."""
     log = FakeLog()
     log.put(body("r1", -1, [host("h")], author="bo"))
     outcome = publish(log, change("r2", -1, [host("i")]))
-    assert isinstance(outcome, LostConflict)
+    assert isinstance(outcome, Conflict)
     assert (outcome.version, outcome.author) == (0, "bo")
     assert log.next_offset == 1
 
 
 def test_refusal_is_final():
-    """A record that the fold refuses is not appended over and over."""
+    """A record that the fold rejects is not appended again."""
     log = FakeLog()
     outcome = publish(log, change("r1", -1, removed=[("hosts", "none")]))
-    assert isinstance(outcome, Refused)
+    assert isinstance(outcome, Rejected)
     assert "there is no 'none'" in outcome.reason
     assert log.next_offset == 1
 
 
 def test_unreadable_author_never_reaches_the_log():
-    """What every node would refuse is refused before the append."""
+    """A change that every node would reject is rejected before the append."""
     log = FakeLog()
     outcome = publish(log, change("r1", -1, author="two\nlines"))
-    assert isinstance(outcome, Refused)
+    assert isinstance(outcome, Rejected)
     assert log.next_offset == 0
 
 
 def test_passed_deadline_tells_whether_anything_was_appended():
-    """Symptom: an operator takes an unknown outcome for a failure.
+    """Guards against an unknown outcome that is reported as a failure.
 
-    Events: the log is down, or stops answering after the append.
+    The log is down, or stops answering after the append.
     """
 
     class DyingLog(FakeLog):
@@ -105,7 +105,7 @@
         clock = ManualClock()
         log.down = isinstance(log, DownLog)
         outcome = publish(log, change("r1", -1), Deadline.after(clock, 15.0))
-        assert isinstance(outcome, NotKnown)
+        assert isinstance(outcome, OutcomeUnknown)
         assert outcome.appended is appended
 
 
@@ -114,16 +114,16 @@
     log = FakeLog()
     log.put(body("r1", -1, [host("h", v="1")]))
     outcome = publish(log, change("r1", 0, [host("h", v="2")]))
-    assert isinstance(outcome, Refused)
+    assert isinstance(outcome, Rejected)
 
 
 def test_publication_on_a_shortened_log_is_accepted_there_and_in_force_nowhere():
-    """An operator is told "accepted", and no running process has the change.
+    """A publication is reported as accepted, but no running process applies it.
 
-    The log loses its last two records and is written on by a publication, which reads
-    the log alone.  Running processes hold what was lost, count the log as shortened,
-    and follow it no more.  The operator sees that in their logs and
-    metrics, has the lost records restored, and publishes again.
+    The log loses its last two records, and a publication, which reads only the log, is
+    appended.  Running processes have the lost records, report the log as shortened, and
+    stop following it.  The operator sees this in logs and metrics, restores the lost
+    records, and publishes again.
     """
     log = changed_log(4)
     node = Node(log)
@@ -138,7 +138,7 @@
     assert node.troubles("shortened") >= 2
     log.truncate(2)
     log.records += lost
-    assert isinstance(publish(log, change("r9", 1, [host("x")])), LostConflict)
+    assert isinstance(publish(log, change("r9", 1, [host("x")])), Conflict)
     assert publish(log, change("r10", 3, [host("x")])).version == 4
     node.step(2)
     assert (node.version, "x" in node.view.state.hosts) == (4, True)
--- a/siskinthread/configuration/tests/test_state.py
+++ b/siskinthread/configuration/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Selectors, and the answers of a state against a naive scan."""
+"""Tests of selectors, and of the lookups of a state against a naive scan."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -43,7 +43,7 @@
     [("a=1,", 5), ("a in (1", 1), ("a=1,b in (x y)", 11), ("a=1, b ~ c", 5), (",", 1)],
 )
 def test_unreadable_selector_names_the_place(text, place):
-    """The message says at which character the fault is."""
+    """The message gives the position of the syntax error."""
     with pytest.raises(ValueError, match=f"character {place}( |$)"):
         Selector(text)
 
@@ -65,7 +65,7 @@
 def test_allowed_hosts_agree_with_a_naive_scan(
     hosts, service, account, placements, policies
 ):
-    """Hosts placed for the service and allowed by some policy, in any order."""
+    """Allowed hosts are those placed for the service and allowed by any policy."""
     objects = [Host(f"h{index}", labels) for index, labels in enumerate(hosts)]
     objects += [Service("s", service, "plain"), Account("a", account, [])]
     objects += [
@@ -93,7 +93,7 @@
 
 
 def test_strictest_limits_and_keys():
-    """Of several limits each rate is the least; a key finds its account and model."""
+    """Each rate is the minimum over matching limits; keys map to their account."""
     limits = [
         Limits("a", {}, Selector(""), 5.0, 900.0, 2.0),
         Limits("b", {}, Selector("z=a"), 9.0, 100.0, 1.0),
