--- a/siskinthread/dispatch/__init__.py
+++ b/siskinthread/dispatch/__init__.py
@@ -1,9 +1,9 @@
-"""From an admitted request to the events of its one true answer.
+"""Send admitted requests to targets and return the events of the response.
 
 Interface: ``Dispatcher(settings, view, links, router, retry_budget, clock, metrics)``
 with ``async begin(request)``, which returns an ``Answer``: ``async next_event()``
-(`Head`, `Part`, `End`; bytes returned earlier count as written to the caller when it is
-called again) and ``async cancel()``.
+(`Head`, `Part`, `End`; a further call acknowledges that the bytes returned before were
+written to the caller) and ``async cancel()``.
 """
 
 from siskinthread.dispatch._answer import Answer
--- a/siskinthread/dispatch/_answer.py
+++ b/siskinthread/dispatch/_answer.py
@@ -1,4 +1,4 @@
-"""The attempts of one request, and the events of its one answer."""
+"""The attempts of one request and the events of its answer."""
 
 from collections import deque
 from functools import singledispatch
@@ -9,12 +9,12 @@
 from siskinthread.dispatch._choice import TargetChoice
 from siskinthread.dispatch._merging import merge_ends
 from siskinthread.dispatch._retrying import (
-    come_back_after_s,
+    caller_retry_after_s,
+    is_authoritative,
     is_repeatable,
-    is_vouched,
     Retry,
     retry_after_end,
-    unvouched_end,
+    to_unknown_end,
 )
 from siskinthread.errors import InvariantError
 from siskinthread.observability import part_logger
@@ -24,20 +24,20 @@
 
 
 class Answer:
-    """The answer to one request, from however many attempts.
+    """The answer to one request, from one or more attempts.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        The parts that attempts need.
+        Owner of the router, the links, the settings and the metrics.
     request : CallerRequest
         The request.
 
     Notes
     -----
-    One task reads the events.  Of a request that may be repeated, the head is held back
-    until the first byte of the body is there: a target that fails between the two can
-    then still be replaced by another without the caller noticing.
+    A single task reads the events.  For a request that may be repeated, the head is
+    held back until the first byte of the body arrives: if the target fails in between,
+    another target can still answer without the caller noticing.
     """
 
     __slots__ = (
@@ -52,9 +52,9 @@
         "_held_head",
         "_pending",
         "_request",
-        "_shown",
-        "_stream",
-        "_vouched",
+        "_has_relayed",
+        "_streaming_exchange",
+        "_is_authoritative",
     )
 
     def __init__(self, dispatcher, request):
@@ -67,42 +67,45 @@
         self._earlier_end = None
         self._held_head = None
         self._pending = deque()
-        self._shown = False
-        self._stream = None
-        self._vouched = False
+        self._has_relayed = False
+        self._streaming_exchange = None
+        self._is_authoritative = False
         self._cancelled = False
         self._ended = False
         dispatcher.measures.began()
 
     async def next_event(self):
-        """Return the next event; after `End` there is none.
+        """Return the next event; `End` is the last.
 
         Returns
         -------
         Head, Part or End
-            Bytes returned earlier count as written to the caller.
+            The call acknowledges that the bytes returned before were written to the
+            caller.
 
         Raises
         ------
         InvariantError
-            If it is called after the end.
+            If it is called after `End` was returned.
         """
         while not self._pending:
-            if self._stream is not None:
-                # Most events are parts of a stream that is under way; every function
-                # that they pass through costs processor time for every token.
-                event = await self._stream.next_event()
+            if self._streaming_exchange is not None:
+                # Most events are parts of a running stream.  Return them directly: each
+                # further function call costs processor time per token.
+                event = await self._streaming_exchange.next_event()
                 if type(event) is Part:
                     return event
-                await self._take(event)
+                await self._handle_event(event)
             elif self._ended:
-                raise InvariantError("an answer was read past its end")
+                raise InvariantError(
+                    "next_event was called after the end of the answer"
+                )
             else:
-                await self._proceed()
+                await self._advance()
         return self._pending.popleft()
 
     async def cancel(self):
-        """Drop the answer, since its caller left; harmless after the end."""
+        """Cancel the answer because its caller left; does nothing after the end."""
         if self._ended:
             return
         self._cancelled = True
@@ -114,23 +117,23 @@
         self._finish(self._earlier_end)
         await attempt.cancel()
 
-    async def _proceed(self):
+    async def _advance(self):
         if self._attempt is None and not await self._begin_attempt():
             return
-        if is_repeatable(self._request) and not self._shown:
-            event = await self._attempt.next_event_unless_lost()
+        if is_repeatable(self._request) and not self._has_relayed:
+            event = await self._attempt.next_event_unless_unreachable()
         else:
             event = await self._attempt.exchange.next_event()
-        await self._take(event)
+        await self._handle_event(event)
 
-    async def _take(self, event):
+    async def _handle_event(self, event):
         if self._cancelled:
             return
         if type(event) is not End:
-            _show(event, self)
+            _handle_response_event(event, self)
             return
         self._end_attempt(event)
-        if not await self._may_go_on(event) and not self._cancelled:
+        if not await self._prepare_retry(event) and not self._cancelled:
             self._finish(self._earlier_end)
 
     async def _begin_attempt(self):
@@ -145,7 +148,7 @@
         self._attempt = attempt
         await attempt.start(chosen.state)
         if self._cancelled:
-            # While it was being started, there was nothing to cancel yet.
+            # `cancel` ran before the attempt had an exchange that it could cancel.
             await attempt.cancel()
             return False
         return True
@@ -158,20 +161,20 @@
     def _end_attempt(self, end):
         attempt = self._attempt
         self._attempt = None
-        self._stream = None
+        self._streaming_exchange = None
         attempt.finish(end.outcome)
         self._dispatcher.measures.attempt_ended(end)
         if end.outcome is Outcome.ANSWERED:
-            self._show_held_head()
+            self._release_held_head()
         else:
             self._held_head = None
             self._log_attempt(attempt, end)
-        self._vouched = is_vouched(end, attempt.written)
+        self._is_authoritative = is_authoritative(end, attempt.written)
         self._earlier_end = merge_ends(self._earlier_end, end)
 
-    async def _may_go_on(self, end):
+    async def _prepare_retry(self, end):
         settings = self._dispatcher.settings
-        retry = retry_after_end(self._request, end, self._shown)
+        retry = retry_after_end(self._request, end, self._has_relayed)
         if retry is Retry.NO or self._attempt_count >= settings.attempt_limit:
             return False
         wait_s = self._dispatcher.back_off_s(retry, self._attempt_count)
@@ -186,7 +189,7 @@
     def _finish(self, end):
         self._ended = True
         if end.outcome is not Outcome.ANSWERED:
-            end = self._with_retry_after(self._with_known_history(end))
+            end = self._with_retry_after(self._unknown_unless_authoritative(end))
         self._pending.append(end)
         self._dispatcher.measures.ended(end)
         _logger.info(
@@ -198,15 +201,19 @@
             self._dispatcher.clock.monotonic_s() - self._begun_at_s,
         )
 
-    def _with_known_history(self, end):
+    def _unknown_unless_authoritative(self, end):
         keyed = self._request.idempotency_key is not None
-        if not keyed or end.outcome is not Outcome.REFUSED_NOT_RUN or self._vouched:
+        if (
+            not keyed
+            or end.outcome is not Outcome.REFUSED_NOT_RUN
+            or self._is_authoritative
+        ):
             return end
-        return unvouched_end(end)
+        return to_unknown_end(end)
 
     def _with_retry_after(self, end):
         default_s = self._dispatcher.settings.retry_after_s
-        wait_s = come_back_after_s(self._request, end, default_s)
+        wait_s = caller_retry_after_s(self._request, end, default_s)
         return End(end.outcome, end.reason, end.message, end.length_bytes, wait_s)
 
     def _log_attempt(self, attempt, end):
@@ -219,32 +226,32 @@
             end.reason,
         )
 
-    def _show_held_head(self):
+    def _release_held_head(self):
         if self._held_head is not None:
             self._pending.append(self._held_head)
             self._held_head = None
-            self._shown = True
+            self._has_relayed = True
 
 
 @singledispatch
-def _show(event, answer):
-    """Put an event of an attempt among those that the caller sees."""
+def _handle_response_event(event, answer):
+    """Queue an event of an attempt for the caller."""
     raise InvariantError(f"unexpected event {event!r}")
 
 
-@_show.register
+@_handle_response_event.register
 def _(event: Head, answer):
     answer._held_head = event
     if not is_repeatable(answer._request):
-        answer._show_held_head()
+        answer._release_held_head()
 
 
-@_show.register
+@_handle_response_event.register
 def _(event: Part, answer):
-    answer._show_held_head()
+    answer._release_held_head()
     answer._pending.append(event)
-    answer._shown = True
-    answer._stream = answer._attempt.exchange
+    answer._has_relayed = True
+    answer._streaming_exchange = answer._attempt.exchange
     answer._attempt.note_first_byte()
     now_s = answer._dispatcher.clock.monotonic_s()
     answer._dispatcher.measures.first_byte(now_s - answer._begun_at_s)
--- a/siskinthread/dispatch/_attempt.py
+++ b/siskinthread/dispatch/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: its target, its exchange and its accounting with the router."""
+"""One attempt: its target, its exchange and its reports to the router."""
 
 import curio
 
@@ -7,12 +7,12 @@
 
 
 class Attempt:
-    """A request on its way to one target.
+    """An attempt of a request at one target.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        The parts that attempts need.
+        Owner of the router, the links and the settings.
     request : CallerRequest
         The request.
     host : str
@@ -21,7 +21,7 @@
     Attributes
     ----------
     exchange : siskinthread.links.Exchange or None
-        The events of the response; None until it is started.
+        Source of the events of the response; None until the attempt is started.
     """
 
     __slots__ = (
@@ -41,40 +41,41 @@
 
     @property
     def written(self):
-        """Whether the request reached a connection to the agent, even partly."""
+        """Whether any byte of the request was written to a connection to the agent."""
         return self.exchange is not None and self.exchange.written
 
     async def start(self, state):
-        """Hand the request to the link of the target's host.
+        """Pass the request to the link of the target's host.
 
         Parameters
         ----------
         state : siskinthread.configuration.State
-            The configuration by which the host was chosen.
+            Configuration with which the host was chosen.
         """
         start_request = build_start_request(self._request, state)
         self._dispatcher.router.started(self.host, self._request)
-        # If the task of a caller that left ended inside, the link would hold an
-        # exchange that nobody could cancel, and the target would run it for nobody.
+        # If the caller left and its task were cancelled in here, the link would hold an
+        # exchange that nothing cancels, and the target would run an unwanted request.
         async with curio.disable_cancellation():
             self.exchange = await self._dispatcher.links.start(
                 self.host, start_request, self._request.deadline
             )
 
-    async def next_event_unless_lost(self):
-        """Return the next event, or give up an agent that stays out of reach.
+    async def next_event_unless_unreachable(self):
+        """Return the next event, or cancel if the agent stays unreachable.
 
         Returns
         -------
         Head, Part or End
-            ``UNKNOWN`` once the link was down at two looks, ``lost_link_wait_s`` apart.
+            An ``UNKNOWN`` end once two checks, ``lost_link_wait_s`` apart, found the
+            link down.
 
         Notes
         -----
-        For requests that may be repeated and of which nothing was shown.  The link asks
-        a lost agent again for a long time, since nothing but its answer helps other
-        requests; these would wait with it although any other target could answer them.
-        One would notice first bytes that come only after ``reask_limit_s``.
+        For requests that may be repeated and of whose response nothing was relayed.
+        The link queries an unreachable agent for up to ``reask_limit_s``, because other
+        requests can be resolved only by that agent.  Repeatable requests would wait as
+        long for their first byte although any other target could answer them.
         """
         interval_s = self._dispatcher.settings.lost_link_wait_s
         was_down = False
@@ -90,17 +91,17 @@
             was_down = is_down
 
     def note_first_byte(self):
-        """Tell the router that the first byte of the body has come."""
+        """Report the time to the first byte of the body to the router."""
         now_s = self._dispatcher.clock.monotonic_s()
         self._dispatcher.router.first_byte(
             self.host, self._request, now_s - self._started_at_s
         )
 
     def finish(self, outcome):
-        """Tell the router that the attempt is over."""
+        """Report the end of the attempt to the router."""
         self._dispatcher.router.ended(self.host, self._request, outcome, None)
 
     async def cancel(self):
-        """Tell the target's agent that nothing more is wanted."""
+        """Cancel the exchange with the target's agent."""
         if self.exchange is not None:
             await self.exchange.cancel()
--- a/siskinthread/dispatch/_choice.py
+++ b/siskinthread/dispatch/_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the target of the next attempt, and the wait for a link to one."""
+"""Choose the target of the next attempt and wait for a link to it."""
 
 import curio
 
@@ -7,14 +7,14 @@
 
 
 class ChosenTarget:
-    """A target and the configuration by which it was chosen.
+    """A target and the configuration with which it was chosen.
 
     Parameters
     ----------
     host : str
         Name of the target's host.
     state : siskinthread.configuration.State
-        The configuration in force at the choice.
+        Configuration in force when the target was chosen.
     """
 
     __slots__ = ("host", "state")
@@ -25,12 +25,12 @@
 
 
 class TargetChoice:
-    """Chooses the targets of one request, no target twice.
+    """Chooses a different target for each attempt of a request.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        The parts that attempts need.
+        Owner of the router, the links and the settings.
     request : CallerRequest
         The request.
     """
@@ -43,40 +43,41 @@
         self._tried_hosts = set()
 
     async def choose(self):
-        """Choose a target; wait a little for a link if there is none.
+        """Choose a target, waiting up to ``link_wait_s`` while no link is up.
 
         Returns
         -------
         ChosenTarget or siskinthread.outcomes.End
-            The target, or why there is none.
+            The target, or the refusal if there is none.
 
         Notes
         -----
-        A link that is being replaced is back within milliseconds.  A key has no other
-        target to go to; and an entry that was paused finds all of its links closed when
-        it goes on, and would refuse everything that came meanwhile.
+        A link that is being replaced is up again within milliseconds.  A request with
+        an idempotency key can't be sent to another target.  After a pause of the entry
+        process all of its links are closed; without the wait it would refuse every
+        request that arrived during the pause.
         """
-        limit = self._wait_limit()
+        deadline = self._link_deadline()
         while True:
             chosen = self._choose_now()
-            if isinstance(chosen, ChosenTarget) or limit.passed():
+            if isinstance(chosen, ChosenTarget) or deadline.passed():
                 return chosen
             interval_s = self._dispatcher.settings.link_check_interval_s
-            await curio.sleep(min(interval_s, limit.left_s()))
+            await curio.sleep(min(interval_s, deadline.left_s()))
 
-    def _wait_limit(self):
+    def _link_deadline(self):
         dispatcher = self._dispatcher
         wait_s = min(
             dispatcher.settings.link_wait_s, self._request.deadline.left_s() / 2
         )
-        if self._tried_hosts and not self._keyed:
-            # Its other targets have refused it; its caller shall hear so at once.
+        if self._tried_hosts and not self._has_key:
+            # The other targets have refused the request; report that without delay.
             wait_s = 0.0
         return Deadline.after(dispatcher.clock, wait_s)
 
     def _choose_now(self):
-        # The target and the version of the homes that the frame states have to come
-        # from one state, hence no await between the two.
+        # The target and the homes version in the frame must come from the same state,
+        # so there is no await between reading the two.
         state = self._dispatcher.view.state
         if state is None:
             return _refusal(Reason.NOT_READY, "No configuration is known yet.")
@@ -90,16 +91,16 @@
         return ChosenTarget(host, state)
 
     def _connected_host(self):
-        excluded = frozenset() if self._keyed else self._tried_hosts
+        excluded = frozenset() if self._has_key else self._tried_hosts
         host = self._dispatcher.router.choose(self._request, excluded)
-        if self._keyed and host is not None:
+        if self._has_key and host is not None:
             self._dispatcher.want_link(host)
-        # Handed to a link that is down, the request would wait there; the caller would
-        # hear "not run" too late to go anywhere else.
+        # A link that is down would queue the request, and the caller would learn that
+        # it was not run too late to retry elsewhere.
         return host if self._dispatcher.is_connected(host) else None
 
     @property
-    def _keyed(self):
+    def _has_key(self):
         return self._request.idempotency_key is not None
 
 
--- a/siskinthread/dispatch/_dispatcher.py
+++ b/siskinthread/dispatch/_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: what the answers of all requests share."""
+"""The dispatcher: the parts that the answers of all requests share."""
 
 import random
 
@@ -8,28 +8,28 @@
 
 
 class Dispatcher:
-    """Turns admitted requests into answers.
+    """Sends admitted requests to targets.
 
     Parameters
     ----------
     settings : DispatchSettings
-        Attempts and retries.
+        Limits of attempts, retries and waits.
     view : siskinthread.configuration.ConfigurationView
-        The configuration in force.
+        View of the configuration in force.
     links : siskinthread.links.AgentLinks
         Links to the agents.
     router : siskinthread.routing.Router
-        Choice of the target.
+        Chooses the targets.
     retry_budget : siskinthread.admission.RetryBudget
-        Bounds the retries of this entry, so that they can't multiply an overload.
+        Limits the retries of this entry, so that retries can't amplify an overload.
     clock : siskinthread.timing.Clock
-        Clock of the measurements.
+        Clock for deadlines and durations.
     metrics : siskinthread.observability.Metrics
-        Where metrics are registered.
+        Registry of the metrics.
     randomness : random.Random or None
-        Source of the jitter.
+        Random source of the back-off's jitter; a new one if None.
     want_link : callable or None
-        Is told the name of a key's home to which there is no link.
+        Called with the host name of a key's home to which there is no link.
     """
 
     __slots__ = (
@@ -77,18 +77,18 @@
         Returns
         -------
         Answer
-            Nothing is sent before its first event is asked for.
+            Nothing is sent to a target before the first event is requested.
         """
         self.retry_budget.note_request()
         return Answer(self, request)
 
     def is_connected(self, host):
-        """Return whether the link to a host is up."""
+        """Return whether the link to `host` is up."""
         status = self.links.status(host)
         return status is not None and status.connected
 
     def want_link(self, host):
-        """Have a link made to a key's home unless there is one."""
+        """Request a link to a key's home unless a link exists."""
         if self._want_link is not None and self.links.status(host) is None:
             self._want_link(host)
 
@@ -98,9 +98,9 @@
         Parameters
         ----------
         retry : Retry
-            Where the next attempt goes.
+            Where the next attempt may go.
         attempt_count : int
-            Attempts so far, at least one.
+            Number of attempts so far, at least one.
         """
         settings = self.settings
         if retry is Retry.HOME:
--- a/siskinthread/dispatch/_measures.py
+++ b/siskinthread/dispatch/_measures.py
@@ -2,12 +2,12 @@
 
 
 class DispatchMeasures:
-    """What dispatch counts.
+    """Counters, gauge and histogram of dispatch.
 
     Parameters
     ----------
     metrics : siskinthread.observability.Metrics
-        Where the counters are registered.
+        Registry of the metrics.
     """
 
     __slots__ = ("_attempts", "_first_byte_s", "_in_flight", "_requests", "_retries")
@@ -30,22 +30,22 @@
         )
 
     def began(self):
-        """Note a new request."""
+        """Count a new request."""
         self._in_flight.inc()
 
     def ended(self, end):
-        """Note the final `End` of a request."""
+        """Count the final `End` of a request."""
         self._in_flight.dec()
         self._requests.labels(end.outcome.label, str(end.reason)).inc()
 
     def attempt_ended(self, end):
-        """Note the `End` of an attempt."""
+        """Count the `End` of an attempt."""
         self._attempts.labels(end.outcome.label, str(end.reason)).inc()
 
     def retried(self, end):
-        """Note that another attempt follows the one that ended so."""
+        """Count a retry by the `End` of the attempt before it."""
         self._retries.labels(str(end.reason)).inc()
 
     def first_byte(self, wait_s):
-        """Note the time to the first byte of a body, seconds."""
+        """Record the time to the first byte of a body, seconds."""
         self._first_byte_s.observe(wait_s)
--- a/siskinthread/dispatch/_merging.py
+++ b/siskinthread/dispatch/_merging.py
@@ -1,12 +1,12 @@
-"""The one outcome of a request that had several attempts."""
+"""Merge the outcomes of several attempts into the outcome of the request."""
 
 from siskinthread.errors import InvariantError
 from siskinthread.outcomes import Outcome
 
-# What is true of the whole when one attempt ended as in the first column of a row and
-# a later one as in the second.  Each value is the strongest statement that holds
-# whatever really happened: an attempt of unknown outcome may be running still, so that
-# neither "not run" nor "failed" may be said of the whole.
+# Outcome of the request by the merged outcome of the earlier attempts and the outcome
+# of the latest.  Each value is the strongest outcome that is true in every possible
+# case: an attempt of unknown outcome may still be running, so that the request can be
+# reported neither as not run nor as failed.
 _MERGED = {
     (Outcome.REFUSED_NOT_RUN, Outcome.REFUSED_NOT_RUN): Outcome.REFUSED_NOT_RUN,
     (Outcome.REFUSED_NOT_RUN, Outcome.FAILED_RAN): Outcome.FAILED_RAN,
@@ -24,28 +24,28 @@
 
 
 def merge_ends(earlier, latest):
-    """Return the `End` that is true of both attempts together.
+    """Return the `End` that holds for all attempts together.
 
     Parameters
     ----------
     earlier : siskinthread.outcomes.End or None
-        Merged end of the attempts so far; None before the first.
+        Merged end of the earlier attempts; None before the first attempt.
     latest : siskinthread.outcomes.End
-        End of the attempt that came after them.
+        End of the latest attempt.
 
     Returns
     -------
     siskinthread.outcomes.End
-        One of the two; the latest wherever both have the merged outcome.
+        One of the two arguments; `latest` if both have the merged outcome.
 
     Raises
     ------
     InvariantError
-        If a whole answer was followed by another attempt.
+        If an attempt follows a complete answer.
     """
     if earlier is None:
         return latest
     merged = _MERGED.get((earlier.outcome, latest.outcome))
     if merged is None:
-        raise InvariantError(f"an attempt followed {earlier!r}")
+        raise InvariantError(f"an attempt followed {earlier!r}, which is final")
     return latest if latest.outcome is merged else earlier
--- a/siskinthread/dispatch/_messages.py
+++ b/siskinthread/dispatch/_messages.py
@@ -1,39 +1,39 @@
-"""What the callers' side hands to the dispatcher."""
+"""The request that the HTTP front end passes to the dispatcher."""
 
 
 class CallerRequest:
-    """One authenticated request of a caller.
+    """An authenticated request of a caller.
 
     Parameters
     ----------
     request_id : str
-        Unique; for a request with an idempotency key it is derived from account,
-        service and key, so that a retry through another entry host has the same one.
+        Unique id. For a request with an idempotency key it is derived from account,
+        service and key, so that a retry through another entry host has the same id.
     account : siskinthread.configuration.Account
         The client account.
     service : siskinthread.configuration.Service
-        The service that is asked.
+        The requested service.
     method, path : str
-        Request line as the target shall see it.
+        Method and path of the request line that is sent to the target.
     headers : list of tuple of str
-        Pairs of lower-case name and value, without hop-by-hop headers and keys.
+        Pairs of lower-case name and value, without hop-by-hop headers
+        and bearer keys.
     body : bytes
-        The whole body.
+        Complete body.
     idempotent : bool
         Whether the request may be repeated.
     idempotency_key : str or None
         The caller's key.
     issued_at_ms : int or None
-        Wall clock of the key's first issue, Unix milliseconds, never later than the
-        truth.
+        Lower bound of the time at which the key was first issued, Unix milliseconds.
     deadline : siskinthread.timing.Deadline
         When the caller stops waiting.
     priority : int
-        0 is the most urgent.
+        Priority class; 0 is the most urgent.
     token_estimate : int
-        Tokens that the answer may take, for limits; 0 for plain services.
+        Estimated tokens of the answer, for rate limits; 0 for plain services.
     prefix_key : str or None
-        Digest of the prompt's head, for prefix-cache affinity.
+        Digest of the start of the prompt, for prefix-cache affinity.
     """
 
     __slots__ = (
--- a/siskinthread/dispatch/_retrying.py
+++ b/siskinthread/dispatch/_retrying.py
@@ -1,4 +1,4 @@
-"""When a request may be tried again, and when its caller should come back."""
+"""Decide whether a request is retried and when its caller may retry."""
 
 import enum
 
@@ -6,15 +6,15 @@
 
 
 class Retry(enum.Enum):
-    """What may follow an attempt that brought no answer."""
+    """Where a retry may go after an attempt without an answer."""
 
     NO = enum.auto()
-    ELSEWHERE = enum.auto()
+    OTHER_TARGET = enum.auto()
     HOME = enum.auto()
 
 
-# Refusals that another target, or the same one later, would repeat.
-LASTING_REASONS = frozenset(
+# Refusals that every target would repeat, now or later.
+PERMANENT_REASONS = frozenset(
     {
         Reason.BAD_REQUEST,
         Reason.DEADLINE_PASSED,
@@ -23,10 +23,10 @@
         Reason.UNAUTHENTICATED,
     }
 )
-# Ends that the caller's own side brought about.
+# Ends caused by the caller.
 CALLER_REASONS = frozenset({Reason.CANCELLED, Reason.TOO_SLOW_READER})
-# Refusals of a key by an agent that do not rest on its ledger.
-UNVOUCHED_REASONS = frozenset(
+# Refusals that an agent gives for an idempotency key without consulting its ledger.
+NON_AUTHORITATIVE_REASONS = frozenset(
     {
         Reason.HOMES_SETTLING,
         Reason.NEVER_RECEIVED,
@@ -35,9 +35,9 @@
         Reason.WRONG_HOME,
     }
 )
-# Unknown outcomes that a later retry with the same key can still clear up, since the
-# key's home may have kept its ledger.
-PASSING_UNKNOWN_REASONS = frozenset(
+# Unknown outcomes that a later retry with the same key may resolve, because the home of
+# the key may still have its ledger.
+RESOLVABLE_UNKNOWN_REASONS = frozenset(
     {
         Reason.AGENT_UNREACHABLE,
         Reason.HOMES_SETTLING,
@@ -51,8 +51,8 @@
 )
 
 
-def retry_after_end(request, end, shown):
-    """Return what may follow an attempt.
+def retry_after_end(request, end, relayed):
+    """Return where a retry may go after an attempt.
 
     Parameters
     ----------
@@ -60,8 +60,8 @@
         The request.
     end : siskinthread.outcomes.End
         How the attempt ended.
-    shown : bool
-        Whether the caller has been shown anything of the response.
+    relayed : bool
+        Whether any part of the response was relayed to the caller.
 
     Returns
     -------
@@ -69,44 +69,43 @@
 
     Notes
     -----
-    A non-idempotent request that was sent again on silence would run twice when the
-    first copy had arrived after all; one would notice two executions of one
-    ``request_id``.  So only the word of the one that refused it permits another
-    attempt.
+    A target that does not answer may still have received the request.  Repeating a
+    non-idempotent request then would run it twice, visible as two executions of one
+    ``request_id``.  Such a request is retried only after an explicit refusal.
     """
-    if shown or end.reason in LASTING_REASONS or end.reason in CALLER_REASONS:
+    if relayed or end.reason in PERMANENT_REASONS or end.reason in CALLER_REASONS:
         return Retry.NO
     if end.outcome is Outcome.REFUSED_NOT_RUN:
         return _retry_after_refusal(request, end)
     if end.outcome is Outcome.ANSWERED or not is_repeatable(request):
         return Retry.NO
-    return Retry.ELSEWHERE
+    return Retry.OTHER_TARGET
 
 
 def _retry_after_refusal(request, end):
     if request.idempotency_key is None:
-        return Retry.ELSEWHERE
-    # Only a change of the configuration, here or there, can make the home accept a key
-    # that it refused, and no other host may run it.
+        return Retry.OTHER_TARGET
+    # No other host may run the request, and the home accepts a key that it refused only
+    # once the configuration of the entry or of the home has changed.
     return Retry.HOME if end.reason is Reason.WRONG_HOME else Retry.NO
 
 
-def is_vouched(end, written):
-    """Return whether a refusal of a key rests on the ledger of its home.
+def is_authoritative(end, written):
+    """Return whether an end is based on the ledger of the key's home.
 
     Parameters
     ----------
     end : siskinthread.outcomes.End
         How the attempt ended.
     written : bool
-        Whether the request reached a connection to the home, so that the end is the
-        home's own word.
+        Whether the request was written to a connection to the home, so that the home
+        itself produced the end.
     """
-    return written and end.reason not in UNVOUCHED_REASONS
+    return written and end.reason not in NON_AUTHORITATIVE_REASONS
 
 
-def unvouched_end(end):
-    """Return the final end of a key that nobody who knows its history refused.
+def to_unknown_end(end):
+    """Return a refusal of a key as unknown, as its home did not confirm it.
 
     Parameters
     ----------
@@ -120,41 +119,43 @@
 
     Notes
     -----
-    The key may have been issued before, through another entry host, and have run.  Only
-    its home can tell.  "Refused, not run" from anyone else would invite the caller to
-    issue the alert anew under another key, and it would run twice.
+    The key may have been issued before through another entry host and have run; only
+    its home knows.  If another host reported "refused, not run", the caller could issue
+    the request again under a new key, and it would run twice.
     """
     message = f"{end.message} Whether the key ran before isn't known here.".lstrip()
     return End(Outcome.UNKNOWN, end.reason, message, retry_after_s=end.retry_after_s)
 
 
 def is_repeatable(request):
-    """Return whether running the request twice does no harm."""
+    """Return whether the request may safely run more than once."""
     return request.idempotent and request.idempotency_key is None
 
 
-def come_back_after_s(request, end, default_s):
-    """Return the seconds after which the caller's own retry may help, or None.
+def caller_retry_after_s(request, end, default_s):
+    """Return the seconds after which the caller may retry, None if that can't help.
 
     Parameters
     ----------
     request : CallerRequest
         The request.
     end : siskinthread.outcomes.End
-        Its final end.
+        Final end of the request.
     default_s : float
-        Wait when the end states none, seconds.
+        Seconds to return if the end states none.
     """
-    if not _coming_back_helps(request, end):
+    if not _caller_retry_helps(request, end):
         return None
     return default_s if end.retry_after_s is None else end.retry_after_s
 
 
-def _coming_back_helps(request, end):
+def _caller_retry_helps(request, end):
     if end.outcome is Outcome.ANSWERED:
         return False
-    if end.reason in LASTING_REASONS or end.reason in CALLER_REASONS:
+    if end.reason in PERMANENT_REASONS or end.reason in CALLER_REASONS:
         return False
     if end.outcome is Outcome.REFUSED_NOT_RUN or is_repeatable(request):
         return True
-    return request.idempotency_key is not None and end.reason in PASSING_UNKNOWN_REASONS
+    return (
+        request.idempotency_key is not None and end.reason in RESOLVABLE_UNKNOWN_REASONS
+    )
--- a/siskinthread/dispatch/_starting.py
+++ b/siskinthread/dispatch/_starting.py
@@ -1,8 +1,8 @@
-"""From a caller's request to the frame that starts an attempt."""
+"""Build the frame that starts an attempt at a target."""
 
 from siskinthread.wire import Header, StartRequest
 
-# What a request without a key states; nobody reads it.
+# Placeholder of a request without an idempotency key; the agent ignores it.
 NO_HOMES_VERSION = -1
 
 
@@ -14,12 +14,12 @@
     request : CallerRequest
         The request.
     state : siskinthread.configuration.State
-        The configuration by which the target was chosen.
+        Configuration with which the target was chosen.
 
     Returns
     -------
     siskinthread.wire.StartRequest
-        Without ``attempt`` and ``window_bytes``, which the links fill in.
+        Without ``attempt`` and ``window_bytes``, which the link sets.
     """
     service_name = request.service.name
     return StartRequest(
--- a/siskinthread/dispatch/tests/fakes.py
+++ b/siskinthread/dispatch/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of the parts that dispatch works with."""
+"""Fakes of the components that dispatch depends on."""
 
 import curio
 
@@ -26,12 +26,12 @@
 
 
 def unknown(reason=Reason.AGENT_UNREACHABLE):
-    """Return the end of an attempt of which nobody knows whether it ran."""
+    """Return the end of an attempt that may or may not have run."""
     return End(Outcome.UNKNOWN, reason)
 
 
 class FakeState:
-    """The little that dispatch reads of a state."""
+    """The part of a configuration state that dispatch reads."""
 
     def __init__(self, homes_version):
         self.version = homes_version
@@ -42,7 +42,7 @@
 
 
 class FakeView:
-    """A view with a state that tests replace."""
+    """A configuration view whose state tests replace."""
 
     def __init__(self):
         self.state = FakeState(7)
@@ -56,7 +56,7 @@
 
 
 class FakeExchange:
-    """An exchange that plays a list of events."""
+    """An exchange that replays a list of events."""
 
     def __init__(self, links, events):
         self._links = links
@@ -64,18 +64,18 @@
         self.written = True
 
     async def next_event(self):
-        """Return the next event of the list; past its end, what ``links.wait`` says."""
+        """Return the next event; at the end of the list, await ``links.wait``."""
         if not self._events and self._links.wait is not None:
             return await self._links.wait()
         return self._events.pop(0)
 
     async def cancel(self):
-        """Count the cancelling."""
+        """Count the cancellation."""
         self._links.cancelled += 1
 
 
 class FakeLinks:
-    """Links whose exchanges play one script after the other."""
+    """Links whose successive exchanges replay successive scripts."""
 
     def __init__(self, scripts, down=()):
         self._scripts = list(scripts)
@@ -90,7 +90,7 @@
         return FakeStatus(host not in self.down)
 
     async def start(self, host, start_request, deadline):
-        """Note the frame and play the next script."""
+        """Record the frame and start an exchange with the next script."""
         self.starts.append((host, start_request))
         self.exchanges.append(FakeExchange(self, self._scripts.pop(0)))
         return self.exchanges[-1]
@@ -105,7 +105,7 @@
         self.first_bytes = 0
 
     def choose(self, request, excluded):
-        """Return the first host left, or None."""
+        """Return the first host that is not excluded, or None."""
         return next((host for host in self._hosts if host not in excluded), None)
 
     def started(self, host, request):
@@ -122,7 +122,7 @@
 
 
 class FakeBudget:
-    """A retry budget of a fixed number."""
+    """A retry budget of a fixed number of retries."""
 
     def __init__(self, left=100):
         self.left = left
@@ -133,13 +133,13 @@
         self.requests += 1
 
     def try_spend(self):
-        """Spend one retry if there is one."""
+        """Spend one retry; return whether one was left."""
         self.left -= 1
         return self.left >= 0
 
 
 class Bench:
-    """A dispatcher over fakes."""
+    """A dispatcher with fake components."""
 
     def __init__(self, *scripts, hosts=("a", "b", "c", "d"), down=(), budget=100):
         self.clock = ManualClock()
@@ -184,7 +184,7 @@
         )
 
     async def answer(self, request):
-        """Return the list of all events of the answer to a request."""
+        """Return all events of the answer to a request."""
         answer = await self.dispatcher.begin(request)
         events = []
         while not events or not isinstance(events[-1], End):
--- a/siskinthread/dispatch/tests/test_answer.py
+++ b/siskinthread/dispatch/tests/test_answer.py
@@ -17,7 +17,7 @@
 
 
 def test_answer_is_relayed_in_order():
-    """Head, parts and end arrive as the target sent them; the frame is complete."""
+    """Head, parts and end are relayed in order; the frame has all fields."""
     bench = Bench(ANSWER)
     assert run(bench) == ANSWER
     ((host, frame),) = bench.links.starts
@@ -35,11 +35,10 @@
 
 @pytest.mark.parametrize("end", [failed(), unknown()], ids=repr)
 def test_non_idempotent_request_is_sent_once(end):
-    """A non-idempotent request is not sent again after a failure or silence.
+    """A non-idempotent request is not retried after a failure or a missing response.
 
-    Symptom: one crossing alert halts two trains.  Sequence: the target runs the alert,
-    its host falls silent before the answer is out, the entry sends the alert elsewhere.
-    Cause: silence was taken for "not run".
+    The target may have run the request before its host stopped responding.  If the
+    entry treats a missing response as "not run" and retries, the request runs twice.
     """
     bench = Bench([end], ANSWER)
     (final,) = run(bench)
@@ -49,14 +48,14 @@
 
 
 def test_refused_request_goes_elsewhere():
-    """Even a non-idempotent request may go elsewhere once it was refused, not run."""
+    """A non-idempotent request that was refused, not run, goes to another target."""
     bench = Bench([refused()], [refused()], ANSWER)
     assert run(bench) == ANSWER
     assert [host for host, frame in bench.links.starts] == ["a", "b", "c"]
 
 
 def test_attempts_are_bounded():
-    """The number of attempts ends at the setting, with the merged outcome."""
+    """After ``attempt_limit`` attempts the request ends with the merged outcome."""
     bench = Bench([refused()], [refused()], [refused()], ANSWER)
     (final,) = run(bench)
     assert final.outcome is Outcome.REFUSED_NOT_RUN
@@ -65,7 +64,7 @@
 
 
 def test_spent_retry_budget_ends_the_request():
-    """Without budget the request gets its final answer at once."""
+    """Without retry budget the request ends after its first attempt."""
     bench = Bench([refused()], ANSWER, budget=0)
     (final,) = run(bench)
     assert final.outcome is Outcome.REFUSED_NOT_RUN
@@ -73,11 +72,10 @@
 
 
 def test_retry_does_not_pass_the_deadline():
-    """A request whose back-off would pass its deadline is answered at once.
+    """A request whose back-off would exceed its deadline is answered at once.
 
-    Symptom: a caller hears "not run" only when its time is over.  Sequence: the first
-    target refuses shortly before the deadline, the entry waits to try another.  Cause:
-    the wait was not compared with the time left.
+    If the first target refuses shortly before the deadline and the wait is not compared
+    with the time left, the caller learns of the refusal only after its deadline.
     """
     bench = Bench([refused()], ANSWER)
     bench.settings.values["first_back_off_s"] = 0.2
@@ -89,18 +87,17 @@
 
 
 def test_idempotent_request_is_repeated_before_anything_was_shown():
-    """A failure before the first byte of the body is invisible to the caller."""
+    """A failure before the first body byte is retried and not relayed."""
     bench = Bench([unknown()], [HEAD, failed()], ANSWER)
     assert run(bench, idempotent=True) == ANSWER
     assert len(bench.links.starts) == 3
 
 
 def test_idempotent_stream_is_not_restarted_once_shown():
-    """A broken stream ends visibly broken.
+    """A stream that breaks after its first bytes ends as failed.
 
-    Symptom: an answer holds its beginning twice, or two halves that do not fit.
-    Sequence: a stream breaks after some bytes, another target begins anew.  Cause: the
-    entry forgot that the caller had been shown the first bytes.
+    A retry at another target would relay the beginning of the answer twice, or join
+    parts of two different answers.
     """
     part = Part(0, b"half")
     bench = Bench([HEAD, part, failed()], ANSWER)
@@ -111,7 +108,7 @@
 
 
 def test_whole_outcome_stays_unknown_when_the_last_attempt_is_refused():
-    """Unknown, then refused everywhere, is unknown."""
+    """An unknown outcome followed by refusals stays unknown."""
     bench = Bench([unknown()], [refused()], [refused()])
     (final,) = run(bench, idempotent=True)
     assert final.outcome is Outcome.UNKNOWN
@@ -119,7 +116,7 @@
 
 
 def test_no_target_is_refused_at_once():
-    """Without a target the caller hears so at once and when to come back."""
+    """Without a target the request is refused at once, with a retry delay."""
     bench = Bench(hosts=())
     (final,) = run(bench)
     assert (final.outcome, final.reason) == (
@@ -130,11 +127,11 @@
 
 
 def test_repeatable_request_leaves_an_agent_that_is_lost():
-    """A request that may be repeated does not wait for a lost agent.
+    """A request that may be repeated does not wait for an unreachable agent.
 
-    Symptom: a draft starts ten seconds late.  Sequence: the agent dies with the request
-    in flight, the link asks it again and again, other targets are idle.  Cause: the
-    dispatcher waited for the link's own limit.
+    If an agent dies with the request in flight, the link queries it for ten seconds.
+    A dispatcher that waits for that limit delays the answer although other targets are
+    idle.
     """
     bench = Bench([], ANSWER)
 
@@ -157,7 +154,7 @@
 
 
 def test_deadline_passed_before_the_first_attempt_is_refused():
-    """Nothing is sent for a caller that has stopped waiting."""
+    """Nothing is sent to a target after the deadline."""
     bench = Bench(ANSWER)
     (final,) = run(bench, wait_s=0.0)
     assert final.reason is Reason.DEADLINE_PASSED
@@ -165,7 +162,7 @@
 
 
 def test_reading_past_the_end_is_a_broken_invariant():
-    """Whoever reads past the end has lost count."""
+    """`next_event` after the end raises `InvariantError`."""
     bench = Bench([failed()])
 
     async def main():
--- a/siskinthread/dispatch/tests/test_cancelling.py
+++ b/siskinthread/dispatch/tests/test_cancelling.py
@@ -14,7 +14,7 @@
 
 
 def test_cancelled_answer_cancels_its_attempt_once():
-    """The target learns that the caller left; the accounts come out even."""
+    """Cancelling cancels the exchange once and resets the in-flight counts."""
     bench = Bench([HEAD, Part(0, b"half"), COMPLETE])
 
     async def main():
@@ -30,7 +30,7 @@
 
 
 def test_cancelling_during_the_back_off_starts_no_further_attempt():
-    """No target gets a request whose caller left between two attempts."""
+    """No attempt starts if the caller leaves during the back-off."""
     bench = Bench([refused()], ANSWER)
     bench.settings.values["first_back_off_s"] = 30.0
     bench.settings.values["longest_back_off_s"] = 30.0
@@ -49,7 +49,7 @@
 
 
 def test_cancelling_while_the_answer_is_read_ends_it_once():
-    """A reader that waits is woken with the one end of the answer."""
+    """A waiting reader gets the end, and the end is counted once."""
     bench = Bench([])
     woken = curio.Event()
 
@@ -74,11 +74,10 @@
 
 
 def test_caller_that_leaves_while_the_attempt_is_started_cancels_it():
-    """No exchange is left behind that nobody reads.
+    """An exchange is cancelled even if the caller leaves while it is started.
 
-    Symptom: targets work on requests whose callers left long ago.  Sequence: the caller
-    leaves while its request is handed to the link, which holds it from then on.  Cause:
-    the task ended before it knew the exchange that it had to cancel.
+    Guards against targets that run requests of callers that have left: if the task is
+    cancelled while the link accepts the request, it has no exchange to cancel.
     """
     bench = Bench(ANSWER)
     entered = curio.Event()
--- a/siskinthread/dispatch/tests/test_keys.py
+++ b/siskinthread/dispatch/tests/test_keys.py
@@ -20,11 +20,11 @@
 
 
 def test_request_waits_a_little_while_no_link_to_a_target_is_up():
-    """An entry that was paused does not refuse what came meanwhile.
+    """An entry resumed from a pause does not refuse requests that queued meanwhile.
 
-    Symptom: one request in ten is refused, ``no_target``, by an entry that stood still
-    for two seconds.  Sequence: the agents closed its links; on waking it reads the
-    callers' requests before the new links are up.  Cause: it did not wait for them.
+    During a pause of two seconds the agents close the entry's links.  After it, the
+    entry reads queued requests before the new links are up; without a wait it refuses
+    one request in ten with ``no_target``.
     """
     bench = Bench(ANSWER)
     bench.settings.values["link_wait_s"] = 1.0
@@ -35,7 +35,7 @@
 
 
 def test_refused_request_without_another_target_does_not_wait():
-    """A request that all targets refused is answered at once."""
+    """A request that all targets refused is answered without waiting for a link."""
     bench = Bench([refused()], hosts=("a",))
     bench.settings.values["link_wait_s"] = 1.0
     choices = []
@@ -52,7 +52,7 @@
 
 
 def test_missing_link_to_a_home_is_wanted():
-    """A home outside of the entry's subset gets a link of its own."""
+    """The entry requests a link to a home outside of its subset of hosts."""
     bench = Bench(ANSWER)
     wanted = []
     bench.dispatcher = Dispatcher(
@@ -72,11 +72,10 @@
 
 
 def test_key_whose_home_is_not_connected_is_not_held_back():
-    """A request for a home that is out of reach does not wait for its deadline.
+    """A request whose home is unreachable does not wait until its deadline.
 
-    Symptom: an alert is refused only after its whole time.  Sequence: the home is down,
-    the request waits on its link.  Cause: a link that is down accepts requests and
-    resolves them at their deadline.
+    A link that is down queues requests and resolves them only at their deadline, so
+    the dispatcher must not pass the request to it.
     """
     bench = Bench(ANSWER, down=("a",))
     (final,) = run(bench, key=KEY)
@@ -86,7 +85,7 @@
 
 
 def test_refusal_of_a_key_that_was_never_sent_is_unknown():
-    """An end of the link alone does not know what became of the key before."""
+    """A refusal made by the link does not cover earlier tries of the key."""
     bench = Bench([refused(Reason.TARGET_UNREACHABLE)])
     start = bench.links.start
 
@@ -102,7 +101,7 @@
 
 
 def test_key_goes_back_to_its_home_after_wrong_home():
-    """A key that met another configuration is tried again with the newer one."""
+    """After ``wrong_home`` a key is sent again with the newer configuration."""
     bench = Bench([refused(Reason.WRONG_HOME)], ANSWER)
 
     async def main():
@@ -132,12 +131,11 @@
     ids=repr,
 )
 def test_key_is_never_sent_again_for_another_reason(end, outcome):
-    """A key goes to no other host and not again, whatever the request says.
+    """A request with a key has no second attempt, even if declared idempotent.
 
-    Symptom: a caller is told "refused, not run", issues the alert under a new key, and
-    two trains are halted.  Sequence: the alert ran through another entry host, whose
-    answer was lost; the retry meets homes that settle.  Cause: "not run" was said by
-    someone who does not know the key's history.
+    Guards against reporting "refused, not run" without the ledger of the key's home:
+    the request may have run through another entry host whose answer was lost, and the
+    caller would issue it again under a new key.
     """
     bench = Bench([end], ANSWER)
     (final,) = run(bench, key=KEY, idempotent=True)
@@ -150,6 +148,6 @@
     [(Reason.AGENT_UNREACHABLE, True), (Reason.ISSUED_BEFORE_START, False)],
 )
 def test_retry_after_is_told_only_where_coming_back_helps(reason, helps):
-    """A key whose home has forgotten everything stays unknown for ever."""
+    """The caller gets no retry delay if the home has lost its ledger."""
     (final,) = run(Bench([unknown(reason)]), key=KEY)
     assert (final.retry_after_s is not None) is helps
--- a/siskinthread/dispatch/tests/test_merging.py
+++ b/siskinthread/dispatch/tests/test_merging.py
@@ -1,4 +1,4 @@
-"""Tests of the merged outcome of several attempts, against possible worlds."""
+"""Tests of merged outcomes, compared with an enumeration of all possible cases."""
 
 import itertools
 
@@ -12,7 +12,7 @@
 RAN_AND_OVER = "ran and over"
 RUNNING = "running"
 
-# What can really have become of an attempt, by the outcome that was reported of it.
+# Possible true states of an attempt by its reported outcome.
 WORLDS = {
     Outcome.REFUSED_NOT_RUN: [NOT_RUN],
     Outcome.FAILED_RAN: [RAN_AND_OVER],
@@ -22,9 +22,9 @@
 
 
 def strongest_true_outcome(outcomes):
-    """Return the strongest outcome that holds in every possible world.
+    """Return the strongest outcome that holds in every possible case.
 
-    The naive oracle: it lists what may have happened to each attempt.
+    The reference enumerates the possible states of each attempt.
     """
     if outcomes[-1] is Outcome.ANSWERED:
         return Outcome.ANSWERED
@@ -37,7 +37,7 @@
 
 
 def all_sequences():
-    """Return every sequence of up to three attempts; only the last may be answered."""
+    """Return all sequences of up to three attempts; only the last may be answered."""
     return [
         (*earlier, last)
         for earlier_count in range(3)
@@ -47,7 +47,7 @@
 
 
 def merge_all(outcomes):
-    """Merge one `End` after the other."""
+    """Return the `End` merged from ends of the given outcomes."""
     merged = None
     for outcome in outcomes:
         merged = merge_ends(merged, End(outcome, Reason.COMPLETE))
@@ -61,17 +61,17 @@
 
 @pytest.mark.parametrize("outcomes", all_sequences(), ids=str)
 def test_merged_outcome_is_the_strongest_true_one(outcomes):
-    """The merged outcome claims as much as is true in every world, and no more.
+    """The merged outcome is the strongest one that is true in every possible case.
 
-    Symptom: a caller is told "refused, not run", sends the alert again by other means,
-    and two trains are halted.  Sequence: the first attempt falls silent, the second is
-    refused.  Cause: the outcome of the last attempt was taken for the whole.
+    Guards against reporting "refused, not run" when the first attempt got no response
+    and the second was refused: the caller would repeat a request that may have run.
+    The fault is to report the outcome of the last attempt as that of the request.
     """
     assert merge_all(outcomes).outcome is strongest_true_outcome(outcomes)
 
 
 def test_the_end_shown_is_that_of_an_attempt_with_the_merged_outcome():
-    """Reason and message come from the attempt that decided the outcome."""
+    """Reason and message come from the attempt that determines the outcome."""
     silent = End(Outcome.UNKNOWN, Reason.TARGET_SILENT)
     refused = End(Outcome.REFUSED_NOT_RUN, Reason.LEAVING)
     assert merge_ends(silent, refused) is silent
@@ -79,7 +79,7 @@
 
 
 def test_no_attempt_follows_an_answer():
-    """An attempt after a whole answer is a broken invariant."""
+    """An attempt after a complete answer raises `InvariantError`."""
     answered = End(Outcome.ANSWERED, Reason.COMPLETE)
     with pytest.raises(InvariantError):
         merge_ends(answered, answered)
