--- a/siskinthread/callers/_acceptance.py
+++ b/siskinthread/callers/_acceptance.py
@@ -1,4 +1,4 @@
-"""What the head of a request alone shows."""
+"""Checks of a request that need only its head."""
 
 from siskinthread.callers._header_names import SINGLE_HEADERS
 from siskinthread.callers._requests import draft_request, identify
@@ -17,16 +17,16 @@
 
 
 class AcceptedHead:
-    """A head that nothing speaks against, and what it asks.
+    """A head that passed all checks, and its route.
 
     Parameters
     ----------
     route : object
-        What is asked.
+        Route of the request.
     account : siskinthread.configuration.Account or None
-        Who asks for the models.
+        Client account; set for a list of models only.
     draft : Draft or None
-        The request to a target.
+        Draft of a request to a target.
     """
 
     __slots__ = ("account", "draft", "route")
@@ -45,9 +45,9 @@
     head : RequestHead
         The head.
     context : CallerContext
-        What all connections share.
+        Context shared by all connections.
     is_surplus : bool
-        Whether its connection is one too many.
+        Whether the connection exceeds the limit on connections.
     """
     route = find_route(head.method, head.target)
     if isinstance(route, Refusal):
@@ -61,7 +61,7 @@
             closes=True,
             retry_after_s=RETRY_FULL_S,
         )
-    refusal = head.repeated_header(SINGLE_HEADERS) or _unsuitable(
+    refusal = head.repeated_header(SINGLE_HEADERS) or _unsupported(
         head, context.settings
     )
     if refusal is not None:
@@ -77,10 +77,10 @@
     return AcceptedHead(route, draft=draft)
 
 
-def _unsuitable(head, settings):
+def _unsupported(head, settings):
     if head.http_version != "1.1":
-        # HTTP/1.0 ends a body of unknown length by closing, so that a broken answer
-        # would look like a whole one.
+        # HTTP/1.0 ends a body of unknown length by closing the connection, so a broken
+        # answer could not be told from a complete one.
         return bad_request("Requests need HTTP/1.1.", closes=True)
     length = head.content_length()
     if length is not None and length > settings.body_size_limit_bytes:
--- a/siskinthread/callers/_chat.py
+++ b/siskinthread/callers/_chat.py
@@ -1,4 +1,4 @@
-"""Body of a chat completion."""
+"""Read the body of a chat completion request."""
 
 import json
 
@@ -8,18 +8,18 @@
 
 
 class ChatBody:
-    """What the system reads of a chat completion's body.
+    """The parts of a chat completion's body that the entry uses.
 
     Parameters
     ----------
     model : str
-        Model that is asked.
+        Requested model.
     streams : bool
-        Whether the answer is wanted as a stream of events.
+        Whether the caller asked for a stream of events.
     token_estimate : int
-        Tokens that the answer may take.
+        Estimated tokens of the answer.
     prefix_key : str
-        Digest of model and head of the messages.
+        Digest of the model and the start of the messages.
     """
 
     __slots__ = ("model", "prefix_key", "streams", "token_estimate")
@@ -32,7 +32,7 @@
 
 
 def read_chat_body(body, settings):
-    """Return the `ChatBody` of a body, or a `Refusal`."""
+    """Return the `ChatBody` read from a body, or a `Refusal`."""
     try:
         document = json.loads(body, object_pairs_hook=_unique_members)
     except (ValueError, RecursionError) as error:
@@ -56,10 +56,10 @@
 
 
 def _unique_members(pairs):
-    """Build an object, refusing repeated names.
+    """Build an object and reject repeated names.
 
-    Of two `model` members the system might read one and the engine the other, so that
-    a request would run that was checked as something else.
+    If a body has two `model` members, the entry could check one and the engine use the
+    other, so that a request would run without the checks for its model.
     """
     members = dict(pairs)
     if len(members) != len(pairs):
@@ -80,11 +80,11 @@
 
 def _prefix_key(model, messages, head_bytes):
     digest = xxhash.xxh3_128(model.encode("utf-8", "surrogatepass"))
-    left = head_bytes
+    left_bytes = head_bytes
     for message in messages:
-        text = json.dumps(message, sort_keys=True).encode()[:left]
+        text = json.dumps(message, sort_keys=True).encode()[:left_bytes]
         digest.update(text)
-        left -= len(text)
-        if left <= 0:
+        left_bytes -= len(text)
+        if left_bytes <= 0:
             break
     return digest.hexdigest()
--- a/siskinthread/callers/_context.py
+++ b/siskinthread/callers/_context.py
@@ -1,4 +1,4 @@
-"""What every connection of one server shares."""
+"""Context shared by all connections of a server."""
 
 import os
 
@@ -11,35 +11,35 @@
 
 
 class CallerContext:
-    """The parts that answer requests, and the state of a drain.
+    """The components that answer requests, and the state of a drain.
 
     Parameters
     ----------
     settings : CallerSettings
         Limits.
     view : siskinthread.configuration.ConfigurationView
-        The configuration in force.
+        View of the configuration in force.
     dispatcher : siskinthread.dispatch.Dispatcher
         Runs admitted requests.
     admission : siskinthread.admission.Admission
         Admits requests.
     clock : siskinthread.timing.Clock
-        Clocks.
+        Clock for deadlines and issue times.
     metrics : siskinthread.observability.Metrics
         Rendered at ``/metrics``.
     connected_hosts : callable
-        Returns the hosts of the targets that can be reached.
+        Returns the target hosts that are connected.
     request_ids : callable
         Returns a new request id.
 
     Attributes
     ----------
     bodies : BodyBudget
-        Memory for bodies.
+        Budget for the bytes of request bodies.
     draining : bool
-        Whether readiness fails.
+        Whether ``/readyz`` reports a drain.
     closing : bool
-        Whether each response is the last one of its connection.
+        Whether each connection is closed after its next response.
     """
 
     __slots__ = (
@@ -92,7 +92,7 @@
         )
 
     def unready_reason(self):
-        """Return why callers should not be sent here, or None."""
+        """Return why the process is not ready for callers, or None."""
         if self.draining:
             return "draining"
         if self.view.state is None:
--- a/siskinthread/callers/_header_names.py
+++ b/siskinthread/callers/_header_names.py
@@ -1,4 +1,4 @@
-"""Names of the headers that have a meaning between callers and this system."""
+"""Names of the headers that the entry interprets, and header filtering."""
 
 from siskinthread.http_server import HOP_BY_HOP_HEADERS, relayed_headers
 
@@ -12,8 +12,8 @@
 SINGLE_HEADERS = frozenset(
     (AUTHORIZATION, IDEMPOTENCY_KEY, IDEMPOTENT, DEADLINE, TIMEOUT, ISSUED_AT)
 )
-# A target must not get the caller's key, and must not take a caller's word for what the
-# system itself states.  A compressed answer could not carry a readable error event.
+# Targets must not receive the caller's key, nor headers from a caller that only the
+# entry may set.  A compressed answer could not carry a readable error event.
 WITHHELD_HEADERS = HOP_BY_HOP_HEADERS | {
     AUTHORIZATION,
     IDEMPOTENCY_KEY,
@@ -28,15 +28,15 @@
 OWN_PREFIX = "siskinthread-"
 
 
-def foreign_headers(headers, withheld):
-    """Return the headers that go on to the other side, none of them our own.
+def forwarded_headers(headers, withheld):
+    """Return the headers to forward, without those of this system.
 
     Parameters
     ----------
     headers : list of tuple of str
         Pairs of lower-case name and value.
     withheld : frozenset of str
-        Further names to leave out.
+        Additional lower-case names to leave out.
 
     Returns
     -------
--- a/siskinthread/callers/_relay.py
+++ b/siskinthread/callers/_relay.py
@@ -1,23 +1,23 @@
-"""From the events of an answer to the bytes that its caller gets."""
+"""Relay the events of an answer to the caller's HTTP connection."""
 
 import json
 
 import h11
 
-from siskinthread.callers._header_names import foreign_headers
+from siskinthread.callers._header_names import forwarded_headers
 from siskinthread.callers._responses import (
     answered_headers,
     CLOSE,
     error_event,
     REQUEST_ID_HEADER,
-    write_end,
+    write_error_response,
 )
 from siskinthread.http_server import HOP_BY_HOP_HEADERS, status_of
 from siskinthread.outcomes import End, Outcome, Reason
 
 EVENT_STREAM = "text/event-stream"
-EVENT_MARK = b"data:"
-EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
+EVENT_DATA_FIELD = b"data:"
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 LONGEST_EVENT_END_BYTES = 4
 UNREADABLE_MESSAGE = "The target's response can't be relayed as HTTP."
 
@@ -28,31 +28,31 @@
     Parameters
     ----------
     connection : CallerConnection
-        Where to write.
+        Connection to the caller.
     built : BuiltRequest
-        The request.
+        The request and whether its caller asked for a stream.
     answer : object
-        The dispatcher's answer.
+        The `Answer` of the dispatcher.
     context : CallerContext
-        Settings and the state of a drain.
+        Settings and state of the drain.
 
     Attributes
     ----------
     end : End or None
-        The last event of the answer, once it came.
+        Last event of the answer, None until it arrives.
     tokens : int
-        Tokens that the answer has held so far.
+        Number of tokens relayed so far.
     broken : bool
-        Whether the response was left incomplete, so that the connection must close.
+        Whether the response is incomplete, so that the connection must be closed.
     """
 
     __slots__ = (
         "_answer",
         "_connection",
         "_context",
-        "_held",
+        "_held_data",
         "_last_bytes",
-        "_left_bytes",
+        "_remaining_bytes",
         "_request",
         "_streams",
         "broken",
@@ -67,26 +67,26 @@
         self._answer = answer
         self._context = context
         self._last_bytes = b""
-        # Bytes until the announced length is reached, and those that reach it, which
-        # wait for the outcome.
-        self._left_bytes = None
-        self._held = b""
+        # Bytes left until the announced length, and the part that completes it, which
+        # is held back until the outcome is known.
+        self._remaining_bytes = None
+        self._held_data = b""
         self.end = None
         self.tokens = 0
         self.broken = False
 
     async def run(self):
-        """Relay every event; returns when the response is complete or broken."""
+        """Relay all events until the response is complete or broken."""
         event = await self._next_event()
         if isinstance(event, End):
             await self._refuse(event)
-        elif self._streams_from(event):
+        elif self._should_stream(event):
             await self._stream(event, [])
         else:
             await self._buffer(event)
 
     async def cancel(self):
-        """Give up the answer unless it has ended."""
+        """Cancel the answer unless it has ended."""
         if self.end is None:
             await self._answer.cancel()
 
@@ -96,7 +96,7 @@
             self.end = event
         return event
 
-    def _streams_from(self, head):
+    def _should_stream(self, head):
         if not self._connection.carries_body(head.status):
             return False
         if self._streams or _content_type(head).startswith(EVENT_STREAM):
@@ -108,17 +108,17 @@
     # Whole answers.
 
     async def _buffer(self, head):
-        """Hold a small answer until its outcome is known, so that its head is true."""
+        """Buffer a small answer so that its head can state the outcome."""
         parts = []
-        left = self._context.settings.whole_answer_limit_bytes
+        left_bytes = self._context.settings.whole_answer_limit_bytes
         while True:
             event = await self._next_event()
             if isinstance(event, End):
                 await self._write_buffered(head, b"".join(parts), event)
                 return
             parts.append(event.data)
-            left -= len(event.data)
-            if left < 0:
+            left_bytes -= len(event.data)
+            if left_bytes < 0:
                 await self._stream(head, parts)
                 return
 
@@ -145,7 +145,7 @@
         if end.outcome is Outcome.ANSWERED:
             end = _failed("The target's answer had no head.")
         self.end = end
-        await write_end(
+        await write_error_response(
             self._connection,
             end,
             self._request.request_id,
@@ -163,7 +163,7 @@
         declared = _declared_length(head)
         if declared is not None and not is_event_stream:
             headers.append(("content-length", str(declared)))
-            self._left_bytes = declared
+            self._remaining_bytes = declared
         try:
             await connection.write_head(head.status, headers)
         except h11.LocalProtocolError:
@@ -174,14 +174,14 @@
                 await self._write_part(data)
             await self._relay_parts()
             if self.end.outcome is Outcome.ANSWERED:
-                if self._held:
-                    await connection.write_data(self._held)
+                if self._held_data:
+                    await connection.write_data(self._held_data)
                 await connection.write_end()
                 return
         except h11.LocalProtocolError:
-            # More or fewer bytes than announced; the caller notices by the length.
-            await self._answer_is_bad()
-        await self._break(is_event_stream)
+            # The body does not have the announced length, which the caller can detect.
+            await self._fail_answer()
+        await self._end_incomplete(is_event_stream)
 
     async def _relay_parts(self):
         next_event = self._answer.next_event
@@ -196,33 +196,33 @@
     async def _write_part(self, data):
         if not data:
             return
-        self.tokens += data.count(EVENT_MARK)
+        self.tokens += data.count(EVENT_DATA_FIELD)
         self._last_bytes = data
-        if self._left_bytes is not None:
-            self._left_bytes -= len(data)
-            if self._left_bytes == 0:
-                # The announced length tells the caller that it has the whole answer:
-                # one that failed behind its last byte looked whole.
-                self._held = data
+        if self._remaining_bytes is not None:
+            self._remaining_bytes -= len(data)
+            if self._remaining_bytes == 0:
+                # A caller that has received the announced length takes the answer as
+                # complete, even if the outcome that follows is a failure.
+                self._held_data = data
                 return
-        await self._connection.write_data(self._held + data)
+        await self._connection.write_data(self._held_data + data)
 
-    async def _break(self, is_event_stream):
-        """Leave the response visibly incomplete.
+    async def _end_incomplete(self, is_event_stream):
+        """Leave the response detectably incomplete.
 
-        The final chunk, or the announced length, is what tells a caller that it has the
-        whole answer; so neither is sent after a break.
+        A caller takes the final chunk or the announced length as the end of a complete
+        answer, so neither is sent.
         """
         self.broken = True
         if not is_event_stream:
             return
         data = error_event(self.end, self._request.request_id)
-        if self._last_bytes and not self._last_bytes.endswith(EVENT_ENDS):
-            # Otherwise the error would be read as a part of the torn event.
+        if self._last_bytes and not self._last_bytes.endswith(EVENT_TERMINATORS):
+            # Otherwise the error would be parsed as part of the incomplete event.
             data = b"\n\n" + data
         await self._connection.write_data(data)
 
-    async def _answer_is_bad(self):
+    async def _fail_answer(self):
         bad = _failed("The target's answer does not have its announced length.")
         await self.cancel()
         self.end = bad
@@ -233,7 +233,7 @@
 
     def _headers(self, head):
         withheld = HOP_BY_HOP_HEADERS | {"content-length"}
-        headers = foreign_headers(head.headers, withheld)
+        headers = forwarded_headers(head.headers, withheld)
         if self._context.closing:
             headers.append(CLOSE)
         return headers
@@ -262,7 +262,7 @@
 
 
 def _tokens_used(body, request):
-    """Return the tokens that a whole chat answer says it took, else the estimate."""
+    """Return the tokens stated by a complete chat answer, else the estimate."""
     if not request.token_estimate:
         return 0
     try:
--- a/siskinthread/callers/_requests.py
+++ b/siskinthread/callers/_requests.py
@@ -1,11 +1,11 @@
-"""From a caller's head and body to a `CallerRequest`."""
+"""Build a `CallerRequest` from the head and body of an HTTP request."""
 
 import functools
 
 from siskinthread.callers._chat import read_chat_body
 from siskinthread.callers._header_names import (
     AUTHORIZATION,
-    foreign_headers,
+    forwarded_headers,
     IDEMPOTENCY_KEY,
     WITHHELD_HEADERS,
 )
@@ -18,25 +18,25 @@
 BEARER_PREFIX = "bearer "
 PLAIN_KIND = "plain"
 RETRY_UNREADY_S = 1.0
-# They say what the caller has to mend, whatever the outcome of earlier tries.
-TELLING_STATUS = (400, 401, 404, 408, 413)
+# Kept for unknown outcomes too: they name an error that the caller has to correct.
+ACTIONABLE_STATUS = (400, 401, 404, 408, 413)
 
 
 class Draft:
-    """A request whose head is accepted and whose body is not yet read.
+    """A request whose head was accepted and whose body is not read yet.
 
     Parameters
     ----------
     head : RequestHead
         Request line and headers.
     route : object
-        What is asked.
+        Route of the request.
     account : siskinthread.configuration.Account
-        Who asks.
+        Client account of the caller.
     times : StatedTimes
         Deadline and idempotency.
     state : siskinthread.configuration.State
-        The configuration that the whole request goes by.
+        Configuration used for the whole request.
     """
 
     __slots__ = ("account", "head", "route", "state", "times")
@@ -49,19 +49,19 @@
         self.state = state
 
 
-class Target:
-    """The service that a request asks, and what its body says.
+class ServiceCall:
+    """The service that a request calls, and the contents of a chat body.
 
     Parameters
     ----------
     service : siskinthread.configuration.Service
         The service.
     path : str
-        Path as the service shall see it.
+        Path that is sent to the service.
     idempotent : bool
-        Default of the service.
+        Whether the service treats the request as idempotent by default.
     chat : ChatBody or None
-        What the body of a chat completion says.
+        Contents of the body of a chat completion.
     """
 
     __slots__ = ("chat", "idempotent", "path", "service")
@@ -81,7 +81,7 @@
     request : siskinthread.dispatch.CallerRequest
         The request.
     streams : bool
-        Whether its caller asked for a stream of events.
+        Whether the caller asked for a stream of events.
     """
 
     __slots__ = ("request", "streams")
@@ -92,7 +92,7 @@
 
 
 def identify(head, context):
-    """Return the `Account` that a head identifies, or a `Refusal`."""
+    """Return the `Account` that a head authenticates, or a `Refusal`."""
     state = context.view.state
     if state is None:
         return refuse(
@@ -123,19 +123,19 @@
         return times
     draft = Draft(head, route, account, times, context.view.state)
     if isinstance(route, ServiceRoute):
-        # Known before the body, so that a large body need not be sent in vain.
-        target = find_target(route, draft, b"", context)
-        if isinstance(target, Refusal):
-            return target
+        # Refuse before the body is read, so that a large body is not sent in vain.
+        call = find_service_call(route, draft, b"", context)
+        if isinstance(call, Refusal):
+            return call
     return draft
 
 
 def build_request(draft, body, context):
     """Return the `BuiltRequest` of a draft and its body, or a `Refusal`."""
-    target = find_target(draft.route, draft, body, context)
-    if isinstance(target, Refusal):
-        return target
-    service = target.service
+    call = find_service_call(draft.route, draft, body, context)
+    if isinstance(call, Refusal):
+        return call
+    service = call.service
     priority = draft.state.priority(draft.account.name, service.name)
     times = draft.times
     key = times.idempotency_key
@@ -156,27 +156,27 @@
         account=draft.account,
         service=service,
         method=draft.head.method,
-        path=target.path,
-        headers=foreign_headers(draft.head.headers, WITHHELD_HEADERS),
+        path=call.path,
+        headers=forwarded_headers(draft.head.headers, WITHHELD_HEADERS),
         body=body,
-        idempotent=_is_idempotent(times, target),
+        idempotent=_is_idempotent(times, call),
         deadline=deadline,
         priority=priority,
         idempotency_key=key,
         issued_at_ms=issued_at_ms,
-        token_estimate=target.chat.token_estimate if target.chat else 0,
-        prefix_key=target.chat.prefix_key if target.chat else None,
+        token_estimate=call.chat.token_estimate if call.chat else 0,
+        prefix_key=call.chat.prefix_key if call.chat else None,
     )
-    return BuiltRequest(request, bool(target.chat and target.chat.streams))
+    return BuiltRequest(request, bool(call.chat and call.chat.streams))
 
 
 @functools.singledispatch
-def find_target(route, draft, body, context):
-    """Return the `Target` of a route, or a `Refusal`."""
-    raise TypeError(f"no target for {route!r}")
+def find_service_call(route, draft, body, context):
+    """Return the `ServiceCall` of a route, or a `Refusal`."""
+    raise TypeError(f"no service call is defined for {route!r}")
 
 
-@find_target.register
+@find_service_call.register
 def _(route: ChatRoute, draft, body, context):
     chat = read_chat_body(body, context.settings)
     if isinstance(chat, Refusal):
@@ -187,13 +187,13 @@
             Reason.NO_SUCH_SERVICE,
             f"There is no model {chat.model!r} that this account may use.",
         )
-    return Target(service, draft.head.target, True, chat)
+    return ServiceCall(service, draft.head.target, True, chat)
 
 
-@find_target.register
+@find_service_call.register
 def _(route: ServiceRoute, draft, body, context):
     service = draft.state.services.get(route.service_name)
-    # An engine is asked by model only; here its limits in tokens would not count.
+    # Engines are called by model only; on this route token limits would not apply.
     if service is not None and service.kind != PLAIN_KIND:
         service = None
     if not _may_use(draft, service):
@@ -203,7 +203,7 @@
             "use.",
         )
     idempotent = draft.head.method in service.idempotent_methods
-    return Target(service, route.path, idempotent)
+    return ServiceCall(service, route.path, idempotent)
 
 
 def deadline_refusal(request):
@@ -216,30 +216,32 @@
     )
 
 
-def true_refusal(refusal, head, in_transfer=False):
-    """Return a refusal that says no more than this entry host can know.
+def refusal_for_caller(refusal, head, in_transfer=False):
+    """Return a refusal that states only what this entry host can know.
 
     Parameters
     ----------
     refusal : Refusal
-        Why the request was turned away here.
+        Refusal made by this host.
     head : RequestHead or None
-        Its head, if it could be read.
+        Head of the request, None if it was unreadable.
     in_transfer : bool
-        Whether the body was spoilt on its way, which another try's need not have been.
+        Whether the body was damaged or incomplete in transfer, which does not hold for
+        other tries of the request.
 
     Returns
     -------
     Refusal
-        The same, or for a request with an idempotency key one whose outcome is unknown.
+        The same refusal, or one with outcome ``UNKNOWN`` for a request with an
+        idempotency key.
 
     Notes
     -----
-    Symptom without this: an operator sends an alert by hand because its retry was
-    "not run", and the alert goes out twice.  The first try, through another entry host,
-    had run and its answer was lost; this host refused the retry, say because its
-    configuration lags, without the key's home having been asked.  A request that is
-    malformed is malformed on every try, so that its refusal is true.
+    An earlier try with the same key may have run through another entry host and its
+    answer been lost.  If this host refuses the retry without asking the key's home, for
+    example because its configuration lags, and reports "not run", the caller may issue
+    the request again by other means, and it runs twice.  A malformed request is
+    malformed on every try, so its refusal stays as it is.
     """
     end = refusal.end
     if head is None or head.value(IDEMPOTENCY_KEY) is None:
@@ -255,7 +257,7 @@
         "same idempotency key ran is not known here.",
         retry_after_s=end.retry_after_s,
     )
-    status = refusal.status if refusal.status in TELLING_STATUS else status_of(end)
+    status = refusal.status if refusal.status in ACTIONABLE_STATUS else status_of(end)
     return Refusal(end, status, refusal.headers, refusal.closes)
 
 
@@ -265,9 +267,9 @@
     return draft.state.priority(draft.account.name, service.name) is not None
 
 
-def _is_idempotent(times, target):
+def _is_idempotent(times, call):
     if times.idempotency_key is not None:
         return False
     if times.idempotent is not None:
         return times.idempotent
-    return target.idempotent
+    return call.idempotent
--- a/siskinthread/callers/_responses.py
+++ b/siskinthread/callers/_responses.py
@@ -1,4 +1,4 @@
-"""Responses that the system itself writes: refusals, failures, lists."""
+"""Responses that the entry writes itself: refusals, failures and lists."""
 
 import json
 import math
@@ -14,7 +14,7 @@
 
 
 def error_document(end, request_id):
-    """Return the machine-readable body for an `End` other than an answer, as bytes."""
+    """Return the JSON body, as bytes, for an `End` that is not ``ANSWERED``."""
     error = {
         "outcome": end.outcome.label,
         "reason": str(end.reason),
@@ -26,27 +26,29 @@
 
 
 def error_event(end, request_id):
-    """Return the SSE event that ends a broken stream, as bytes."""
+    """Return the server-sent event, as bytes, that ends a broken stream."""
     return b"event: error\ndata: " + error_document(end, request_id) + b"\n\n"
 
 
-async def write_end(connection, end, request_id, status, headers=(), closes=False):
-    """Write the response for an `End` other than an answer.
+async def write_error_response(
+    connection, end, request_id, status, headers=(), closes=False
+):
+    """Write the response for an `End` that is not ``ANSWERED``.
 
     Parameters
     ----------
     connection : CallerConnection
-        Where to write.
+        Connection to the caller.
     end : siskinthread.outcomes.End
-        What became of the request.
+        End of the request.
     request_id : str or None
-        Its id, if it got one.
+        Id of the request, if it has one.
     status : int
         HTTP status.
     headers : iterable of tuple of str
-        Further headers.
+        Additional headers.
     closes : bool
-        Whether the connection ends with this response.
+        Whether the connection is closed after this response.
     """
     fields = [JSON_TYPE, (OUTCOME_HEADER, end.outcome.label), *headers]
     if request_id is not None:
@@ -54,11 +56,11 @@
     if end.retry_after_s is not None:
         fields.append(("retry-after", str(math.ceil(end.retry_after_s))))
     body = error_document(end, request_id)
-    await write_own(connection, status, fields, body, closes)
+    await write_local_response(connection, status, fields, body, closes)
 
 
-async def write_own(connection, status, headers, body, closes=False):
-    """Write a whole response of the system's own."""
+async def write_local_response(connection, status, headers, body, closes=False):
+    """Write a complete response that the entry itself produced."""
     fields = [*headers, ("content-length", str(len(body)))]
     if closes:
         fields.append(CLOSE)
@@ -66,7 +68,7 @@
 
 
 def answered_headers(request_id):
-    """Return the headers that mark a whole answer."""
+    """Return the headers that mark a complete answer."""
     return [
         (OUTCOME_HEADER, Outcome.ANSWERED.label),
         (REQUEST_ID_HEADER, request_id),
--- a/siskinthread/callers/_routes.py
+++ b/siskinthread/callers/_routes.py
@@ -1,34 +1,34 @@
-"""From method and target of a request line to what is asked."""
+"""Map the method and target of a request line to a route."""
 
 from siskinthread.http_server import bad_request, refuse
 from siskinthread.outcomes import Reason
 
 SERVICES_PREFIX = "/services/"
-# CONNECT and TRACE make no sense through a relay.
+# CONNECT and TRACE can't be relayed meaningfully.
 UNSUPPORTED_METHODS = frozenset(("CONNECT", "TRACE"))
 READING_METHODS = ("GET", "HEAD")
 
 
 class HealthRoute:
-    """Whether the process lives."""
+    """Liveness of the process."""
 
     __slots__ = ()
 
 
 class ReadyRoute:
-    """Whether callers should be sent here."""
+    """Readiness of the process for callers."""
 
     __slots__ = ()
 
 
 class MetricsRoute:
-    """The metrics of the process."""
+    """Metrics of the process."""
 
     __slots__ = ()
 
 
 class ModelsRoute:
-    """The models that the account may use."""
+    """List of the models that the account may use."""
 
     __slots__ = ()
 
@@ -47,7 +47,7 @@
     service_name : str
         Name of the service.
     path : str
-        Path and query as the service shall see them.
+        Path and query that are sent to the service.
     """
 
     __slots__ = ("path", "service_name")
@@ -67,7 +67,7 @@
 
 
 def find_route(method, target):
-    """Return what a request line asks for, or a `Refusal`."""
+    """Return the route of a request line, or a `Refusal`."""
     if not target.startswith("/"):
         return bad_request("The target of the request must be a path.")
     path = target.partition("?")[0]
--- a/siskinthread/callers/_server.py
+++ b/siskinthread/callers/_server.py
@@ -1,4 +1,4 @@
-"""The server of callers' requests."""
+"""The HTTP server for callers."""
 
 from siskinthread.callers._context import CallerContext, random_request_id
 from siskinthread.callers._session import CallerSession
@@ -17,19 +17,19 @@
     settings : CallerSettings
         Limits.
     view : siskinthread.configuration.ConfigurationView
-        The configuration in force.
+        View of the configuration in force.
     dispatcher : siskinthread.dispatch.Dispatcher
         Runs admitted requests.
     admission : siskinthread.admission.Admission
         Admits requests.
     clock : siskinthread.timing.Clock
-        Clocks.
+        Clock for deadlines and issue times.
     metrics : siskinthread.observability.Metrics
-        For own metrics and for ``/metrics``.
+        Registry of the metrics; rendered at ``/metrics``.
     connected_hosts : callable, optional
-        Returns the hosts that can be reached; with none of them ``/readyz`` fails.
+        Returns the target hosts that are connected; ``/readyz`` fails if there is none.
     request_ids : callable, optional
-        Returns a new request id; tests give fixed ones.
+        Returns a new request id.
     """
 
     __slots__ = ()
--- a/siskinthread/callers/_session.py
+++ b/siskinthread/callers/_session.py
@@ -1,4 +1,4 @@
-"""The requests of one connection, one after the other."""
+"""Serve the requests of a connection in sequence."""
 
 import functools
 import json
@@ -10,14 +10,14 @@
 from siskinthread.callers._requests import (
     build_request,
     deadline_refusal,
-    true_refusal,
+    refusal_for_caller,
 )
 from siskinthread.callers._responses import (
     JSON_TYPE,
     METRICS_TYPE,
     TEXT_TYPE,
-    write_end,
-    write_own,
+    write_error_response,
+    write_local_response,
 )
 from siskinthread.callers._routes import (
     ChatRoute,
@@ -39,10 +39,10 @@
     connection : CallerConnection
         The connection.
     context : CallerContext
-        What all connections share.
+        Context shared by all connections.
     is_surplus : bool
-        Whether the connection is beyond the limit; it gets a refusal, or the state of
-        the process, and is closed.
+        Whether the connection exceeds the limit; it is closed after one response, which
+        is a refusal unless health, readiness or metrics are requested.
     """
 
     __slots__ = ("_is_surplus",)
@@ -52,10 +52,10 @@
         self._is_surplus = is_surplus
 
     async def answer(self, head):
-        """Answer one request; return whether the connection may go on."""
+        """Answer one request; return whether the connection stays usable."""
         accepted = accept_head(head, self.context, self._is_surplus)
         if isinstance(accepted, Refusal) and head.has_body():
-            # Its body is not read, so nothing after it can be.
+            # The body is not read, so no later request on the connection can be.
             accepted.closes = True
             return await self.refuse(accepted)
         share = self.context.bodies.share()
@@ -70,14 +70,14 @@
             share.release()
 
     async def write_text(self, status, content_type, body):
-        """Write a response of the process about itself; return whether to go on."""
-        await write_own(
-            self.connection, status, [content_type], body, self._closes_now()
+        """Write a response that the entry itself produced; return True."""
+        await write_local_response(
+            self.connection, status, [content_type], body, self._closes_after_response()
         )
         return True
 
     async def write_models(self, account):
-        """Write the list of models that an account may use."""
+        """Write the list of the models that an account may use."""
         state = self.context.view.state
         models = [
             {"id": model, "object": "model", "owned_by": service.name}
@@ -92,7 +92,7 @@
         return await self.write_text(200, JSON_TYPE, json.dumps(document).encode())
 
     async def dispatch(self, draft, body):
-        """Run a request and relay its answer; return whether to go on."""
+        """Run a request and relay its answer; return whether to keep the connection."""
         built = build_request(draft, body, self.context)
         if isinstance(built, Refusal):
             return await self.refuse(built)
@@ -108,7 +108,7 @@
             return await self.refuse(refusal, request_id=request.request_id)
         tokens = 0
         try:
-            # A begun request that nobody holds would run on with nobody to cancel it.
+            # A cancellation here would leave a running request that nothing can cancel.
             async with curio.disable_cancellation():
                 answer = await self.context.dispatcher.begin(request)
             relay = Relay(self.connection, built, answer, self.context)
@@ -124,20 +124,20 @@
         return not relay.broken
 
     async def refuse(self, refusal, in_transfer=False, request_id=None):
-        """Write a refusal; return whether the connection may go on."""
-        shown = true_refusal(refusal, self.head, in_transfer)
-        self._count(shown.end)
-        await write_end(
+        """Write a refusal; return whether the connection stays usable."""
+        reported = refusal_for_caller(refusal, self.head, in_transfer)
+        self._count(reported.end)
+        await write_error_response(
             self.connection,
-            shown.end,
+            reported.end,
             request_id,
-            shown.status,
-            shown.headers,
-            closes=shown.closes or self._closes_now(),
+            reported.status,
+            reported.headers,
+            closes=reported.closes or self._closes_after_response(),
         )
-        return not shown.closes
+        return not reported.closes
 
-    def _closes_now(self):
+    def _closes_after_response(self):
         return self.context.closing or self._is_surplus
 
     def _count(self, end):
@@ -146,8 +146,8 @@
 
 @functools.singledispatch
 async def respond(route, session, accepted, body):
-    """Answer an accepted request; return whether the connection may go on."""
-    raise TypeError(f"nothing answers {route!r}")
+    """Answer an accepted request; return whether the connection stays usable."""
+    raise TypeError(f"no response is defined for {route!r}")
 
 
 @respond.register
--- a/siskinthread/callers/_time_headers.py
+++ b/siskinthread/callers/_time_headers.py
@@ -1,4 +1,4 @@
-"""Deadlines, idempotency keys and their issue times, as callers state them."""
+"""Read deadlines, idempotency keys and issue times from request headers."""
 
 import re
 
@@ -8,27 +8,28 @@
 from siskinthread.timing import Deadline
 
 MILLISECONDS_PER_SECOND = 1000
-UNIX_MS = re.compile(r"[0-9]{1,15}", re.ASCII)
-SECONDS = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?", re.ASCII)
-# The key becomes part of the request's id, which appears in paths and logs.
-KEY = re.compile(r"[A-Za-z0-9._:~+=@-]+", re.ASCII)
+UNIX_MS_PATTERN = re.compile(r"[0-9]{1,15}", re.ASCII)
+SECONDS_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?", re.ASCII)
+# The key is part of the request id, which appears in paths and logs.
+KEY_PATTERN = re.compile(r"[A-Za-z0-9._:~+=@-]+", re.ASCII)
 
 
 class StatedTimes:
-    """What the head says about time and repetition.
+    """Deadline and idempotency as stated in the headers of a request.
 
     Parameters
     ----------
     deadline : siskinthread.timing.Deadline
         When the caller stops waiting.
     deadline_unix_ms : int or None
-        The absolute deadline, if the caller stated one.
+        Absolute deadline if the caller stated one, Unix milliseconds.
     idempotency_key : str or None
         The caller's key.
     idempotent : bool or None
-        What the caller says of the request; None for the service's default.
+        Whether the caller declares the request idempotent; None for the default of the
+        service.
     issued_at_ms : int or None
-        First issue of the key, if the caller stated it.
+        Time of the key's first issue if stated, Unix milliseconds.
     """
 
     __slots__ = (
@@ -55,9 +56,9 @@
     Parameters
     ----------
     issued_at_ms : int
-        Never later than the true first issue, Unix milliseconds.
+        Lower bound of the time of the first issue, Unix milliseconds.
     deadline : siskinthread.timing.Deadline
-        The caller's, cut to the end of the key's life.
+        Deadline of the caller, limited to the end of the key's lifetime.
     """
 
     __slots__ = ("deadline", "issued_at_ms")
@@ -73,7 +74,7 @@
     if idempotent not in (None, "yes", "no"):
         return bad_request("Siskinthread-Idempotent must be yes or no.")
     key = head.value(_header_names.IDEMPOTENCY_KEY)
-    if key is not None and not _acceptable_key(key, settings):
+    if key is not None and not _is_valid_key(key, settings):
         return bad_request(
             "Idempotency-Key must have 1 to "
             f"{settings.idempotency_key_limit_chars} of the characters "
@@ -85,13 +86,13 @@
             "Idempotency-Key and Siskinthread-Idempotent."
         )
     issued_at = head.value(_header_names.ISSUED_AT)
-    if issued_at is not None and not UNIX_MS.fullmatch(issued_at):
+    if issued_at is not None and not UNIX_MS_PATTERN.fullmatch(issued_at):
         return bad_request("Siskinthread-Issued-At must be Unix milliseconds.")
     deadline_ms = head.value(_header_names.DEADLINE)
-    if deadline_ms is not None and not UNIX_MS.fullmatch(deadline_ms):
+    if deadline_ms is not None and not UNIX_MS_PATTERN.fullmatch(deadline_ms):
         return bad_request("Siskinthread-Deadline must be Unix milliseconds.")
     timeout = head.value(_header_names.TIMEOUT)
-    if timeout is not None and not SECONDS.fullmatch(timeout):
+    if timeout is not None and not SECONDS_PATTERN.fullmatch(timeout):
         return bad_request("Siskinthread-Timeout-S must be a number of seconds.")
     if timeout is not None and deadline_ms is not None:
         return bad_request(
@@ -112,21 +113,21 @@
     Parameters
     ----------
     times : StatedTimes
-        What the head says.
+        Times stated in the head.
     service : siskinthread.configuration.Service
-        The service that is asked.
+        The requested service.
     settings : CallerSettings
-        For the clock error.
+        Settings with the limit of the clock error.
     clock : siskinthread.timing.Clock
-        For the wall clock.
+        Clock for the age of the key.
 
     Notes
     -----
-    Symptom without these checks: an alert runs twice.  An agent forgets a key when the
-    key's life is over, and a replaced agent knows no key at all; either would take a
-    late retry for a first try.  The issue time tells them apart, so it must be known,
-    must not lie in the future and must not be older than the life of a key.  A request
-    must not wait here, or on its way, past the end of that life either.
+    These checks keep a request from running twice.  An agent forgets a key at the end
+    of the key's lifetime, and a replaced agent knows no keys; both would handle a late
+    retry as a first try.  The issue time distinguishes the two, so it must be known,
+    must not lie in the future and must not be older than the lifetime of a key.  The
+    deadline is limited so that the request does not wait past that lifetime either.
     """
     lifetime_ms = round(service.lifetime_limit_s * MILLISECONDS_PER_SECOND)
     clock_error_ms = round(settings.clock_error_limit_s * MILLISECONDS_PER_SECOND)
@@ -144,14 +145,16 @@
         return bad_request(_future_message(times, service))
     life_left_ms = lifetime_ms - clock_error_ms - age_ms
     if life_left_ms <= 0:
-        return _too_old(service)
+        return _expired_key_refusal(service)
     end_of_life = Deadline.after_ms(clock, life_left_ms)
     deadline = min(times.deadline, end_of_life, key=lambda either: either.at_s)
     return KeyedTimes(issued_at_ms, deadline)
 
 
-def _acceptable_key(key, settings):
-    return len(key) <= settings.idempotency_key_limit_chars and KEY.fullmatch(key)
+def _is_valid_key(key, settings):
+    return len(key) <= settings.idempotency_key_limit_chars and KEY_PATTERN.fullmatch(
+        key
+    )
 
 
 def _deadline(deadline_ms, timeout, settings, clock):
@@ -174,7 +177,7 @@
     )
 
 
-def _too_old(service):
+def _expired_key_refusal(service):
     end = End(
         Outcome.UNKNOWN,
         Reason.ANSWER_GONE,
--- a/siskinthread/callers/tests/fakes.py
+++ b/siskinthread/callers/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the parts that the callers' side talks to, and a raw client."""
+"""Fakes of the components that the HTTP front end uses, and a raw client."""
 
 import itertools
 from contextlib import asynccontextmanager
@@ -15,7 +15,7 @@
 KEY = "correct-key"
 NOW_MS = 1_700_000_000_000
 READ_SIZE_BYTES = 65_536
-# A test that takes so long hangs.
+# Time after which a test is assumed to hang.
 HANG_S = 20.0
 HOURS_S = 10_000.0
 
@@ -33,20 +33,20 @@
         self.account = Account("inspectorate", {}, [])
 
     def account_for_key(self, bearer_key):
-        """Know one key."""
+        """Return the account for the one valid key."""
         return self.account if bearer_key == KEY else None
 
     def service_for_model(self, model):
-        """Know one model."""
+        """Return the service for the one known model."""
         return self.services["triage-llm"] if model == "triage-1" else None
 
     def priority(self, account_name, service_name):
-        """Allow all services but one."""
+        """Return a priority for all services but ``closed``."""
         return None if service_name == "closed" else 3
 
 
 class FakeAnswer:
-    """An answer whose events the test puts in."""
+    """An answer whose events the test supplies."""
 
     def __init__(self, request, events=()):
         self.request = request
@@ -56,19 +56,19 @@
         self._first = list(events)
 
     async def next_event(self):
-        """Return a prepared event, or wait for the test's."""
+        """Return the next prepared event, or wait for one from the test."""
         if self._first:
             return self._first.pop(0)
         return await self.events.get()
 
     async def cancel(self):
-        """Note that the answer is not wanted."""
+        """Record the cancellation."""
         self.cancel_count += 1
         await self.cancelled.set()
 
 
 class FakeDispatcher:
-    """Hands out answers; the test sees each one in `begun`."""
+    """Begins answers and puts each of them into the queue `begun`."""
 
     def __init__(self, script=None):
         self.begun = curio.Queue()
@@ -78,7 +78,7 @@
         self._script = script or (lambda request: ())
 
     async def begin(self, request):
-        """Begin an answer with the events that the script gives."""
+        """Return an answer with the events of the script."""
         answer = FakeAnswer(request, self._script(request))
         self.requests.append(request)
         await self.started.set()
@@ -89,18 +89,18 @@
 
 
 class FakeAdmitted:
-    """Notes the tokens of one request."""
+    """Records the tokens of one request."""
 
     def __init__(self, admission):
         self._admission = admission
 
     def finish(self, tokens):
-        """Note the tokens."""
+        """Record the tokens."""
         self._admission.finished.append(tokens)
 
 
 class FakeAdmission:
-    """Admits everything unless the test sets a refusal."""
+    """Admits all requests unless the test sets a refusal."""
 
     def __init__(self):
         self.refusal = None
@@ -112,7 +112,7 @@
 
 
 class Bench:
-    """A server with its stand-ins, on a port of loopback."""
+    """A server with fake components on a loopback port."""
 
     def __init__(self, script=None, **settings):
         self.clock = ManualClock()
@@ -139,7 +139,7 @@
 
     @asynccontextmanager
     async def running(self):
-        """Run the server for the length of a block."""
+        """Run the server for the duration of a ``with`` block."""
         self.listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listening.bind(("127.0.0.1", 0))
         self.listening.listen(64)
@@ -169,7 +169,7 @@
 
 
 async def read_to_end(client):
-    """Return every byte until the server ends the connection."""
+    """Return all bytes until the server ends the connection."""
     parts = []
     while True:
         try:
@@ -182,7 +182,7 @@
 
 
 async def read_until(client, mark):
-    """Return the bytes up to and including a mark; more bytes fail the test."""
+    """Return the bytes up to and including `mark`; the end before it fails the test."""
     received = b""
     while not received.endswith(mark):
         data = await client.recv(1)
@@ -192,7 +192,7 @@
 
 
 def request_bytes(method, target, body=b"", key=KEY, close=True, **headers):
-    """Return a request; underscores in names of headers become hyphens."""
+    """Return a request; underscores in header names become hyphens."""
     lines = [f"{method} {target} HTTP/1.1", "Host: siskinthread"]
     if key is not None:
         lines.append(f"Authorization: Bearer {key}")
@@ -214,7 +214,7 @@
 
 
 def whole(body=b"ok", content_type="text/plain", status=200):
-    """Return the events of a whole answer."""
+    """Return the events of a complete answer."""
     return [
         Head(status, [("content-type", content_type)]),
         Part(0, body),
@@ -223,17 +223,17 @@
 
 
 def event_stream_head():
-    """Return the head of a stream of events."""
+    """Return the head of an event stream."""
     return Head(200, [("content-type", "text/event-stream")])
 
 
 def answered(length_bytes=0):
-    """Return the end of a whole answer."""
+    """Return the end of a complete answer."""
     return End(Outcome.ANSWERED, Reason.COMPLETE, length_bytes=length_bytes)
 
 
 def no_answer(request):
-    """Give no event; the test puts them in."""
+    """Return no events; the test supplies them."""
     return ()
 
 
@@ -254,12 +254,12 @@
 
 
 def only_connection(bench):
-    """Return the server's one connection, or None."""
+    """Return the server's only connection, or None."""
     return next(iter(bench.server._connections), None)
 
 
 def in_phase(bench, phase):
-    """Return a condition: the one connection is in this phase."""
+    """Return a function that tells whether the only connection is in `phase`."""
 
     def condition():
         connection = only_connection(bench)
--- a/siskinthread/callers/tests/relay_benchmark.py
+++ b/siskinthread/callers/tests/relay_benchmark.py
@@ -1,14 +1,14 @@
-"""Measures the processor time that the callers' side needs for each relayed token.
+"""Measure the processor time per relayed token of the HTTP front end.
 
-Run the two sides as two processes::
+Run the server and the callers as two processes::
 
     python -m siskinthread.callers.tests.relay_benchmark server 7201 5120 10
     python -m siskinthread.callers.tests.relay_benchmark callers 7201
 
-The arguments of the server are its port, the rate in tokens a second over all streams,
-the seconds to measure, and ``profile`` if wanted.  It prints the share of a core and
-the microseconds of processor time for each token, first for the fake dispatcher alone
-and then with the relay; the difference is what the callers' side takes.
+The arguments of the server are its port, the total rate of all streams in tokens per
+second, the duration in seconds and optionally ``profile``.  The server prints the share
+of a core and the processor time per token in microseconds, first for the fake
+dispatcher alone and then with the relay; the difference is the cost of the front end.
 """
 
 import cProfile
@@ -41,7 +41,7 @@
 
 
 class Feed:
-    """Puts tokens into answers at a rate, in turn."""
+    """Puts tokens into answers round robin at a given rate."""
 
     def __init__(self, answers, tokens_per_s):
         self._answers = answers
@@ -49,7 +49,7 @@
         self.count = 0
 
     async def run(self):
-        """Feed until cancelled; after a pause it catches up."""
+        """Feed until cancelled; after a pause, catch up with the rate."""
         part = Part(0, TOKEN)
         start_s = time.monotonic()
         while True:
@@ -61,7 +61,7 @@
 
 
 async def measure(label, answers, tokens_per_s, wait_s, profile=None):
-    """Feed answers for a time and print the processor time taken."""
+    """Feed answers for `wait_s` seconds and print the processor time used."""
     feed = Feed(answers, tokens_per_s)
     task = await curio.spawn(feed.run)
     await curio.sleep(1.0)
@@ -82,13 +82,13 @@
 
 
 async def consume(answer):
-    """Take events and drop them."""
+    """Read and discard events."""
     while True:
         await answer.next_event()
 
 
 async def serve(port, tokens_per_s, wait_s, profiles):
-    """Measure the fake dispatcher alone, then with callers."""
+    """Measure the fake dispatcher alone, then with the front end."""
     dispatcher = FakeDispatcher(lambda request: [event_stream_head()])
     answers = [await dispatcher.begin(None) for _ in range(STREAMS)]
     consumers = [await curio.spawn(consume, answer) for answer in answers]
@@ -112,7 +112,7 @@
 
 
 def read_streams(port):
-    """Open the streams and read them until the server ends."""
+    """Open the streams and read until the server closes them."""
     selector = selectors.DefaultSelector()
     request = request_bytes("POST", "/v1/chat/completions", chat_body())
     for _ in range(STREAMS):
--- a/siskinthread/callers/tests/test_broken_answers.py
+++ b/siskinthread/callers/tests/test_broken_answers.py
@@ -1,4 +1,4 @@
-"""Answers that break, or that are no HTTP."""
+"""Answers that end early, or that are not valid HTTP."""
 
 import pytest
 
@@ -24,10 +24,10 @@
     ],
 )
 def test_broken_answer_is_visibly_broken(events, end_of_session):
-    """Symptom: half a round sheet is taken for a whole one.
+    """An answer that breaks after its head was relayed is detectably incomplete.
 
-    The target dies, or sends less than it announced, after the head was relayed.
-    Cause: a final chunk, or nothing that tells, after the part that arrived.
+    The target dies or sends fewer bytes than announced.  With a final chunk, or with
+    nothing that marks the break, a caller would take the part as the complete answer.
     """
 
     async def test(bench):
@@ -50,7 +50,7 @@
     ],
 )
 def test_answer_that_is_no_http_is_a_failure(events):
-    """A response that can't be relayed is shown as failed, never as a whole answer."""
+    """A response that can't be relayed is reported as failed."""
 
     async def test(bench):
         return await bench.exchange(LAST_GET)
@@ -61,7 +61,7 @@
 
 
 def test_claims_and_framing_of_a_target_are_not_relayed():
-    """Hop-by-hop headers and a target's own outcome header stop here."""
+    """Hop-by-hop headers and a target's outcome header are not relayed."""
     headers = [
         ("connection", "x-hop, close"),
         ("x-hop", "1"),
--- a/siskinthread/callers/tests/test_drain.py
+++ b/siskinthread/callers/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Readiness, and a stop that cuts off nothing."""
+"""Readiness, and a drain that interrupts no request."""
 
 import socket as standard_socket
 
@@ -24,7 +24,7 @@
 
 
 def test_readiness_states_the_reason():
-    """It says 503, and why, during a drain or without configuration or a target."""
+    """``/readyz`` returns 503 and the reason: drain, no configuration or no target."""
 
     async def test(bench):
         ready = await bench.exchange(READY)
@@ -49,10 +49,10 @@
 
 
 def test_drain_finishes_streams_and_then_closes():
-    """Symptom: a planned restart cuts answers off.
+    """A drain finishes running streams and queued requests.
 
-    A stream runs, and another request has reached the kernel's queue, when the process
-    is told to stop.  Cause: it ended before both were served.
+    Guards against a planned restart that cuts off a running stream, or a request that
+    is still in the kernel's accept queue when the drain begins.
     """
 
     async def test(bench):
@@ -74,7 +74,7 @@
         assert not drain.terminated
         await running.events.put(answered())
         sessions.append(await read_until(client, b"0\r\n\r\n"))
-        # Its head promised another request, so it keeps for the grace.
+        # The head allowed another request, so it stays open for the grace period.
         await until(lambda: len(bench.server._connections) == 1)
         bench.clock.advance(2.0)
         assert await read_to_end(client) == b""
@@ -90,15 +90,15 @@
 
 
 def test_drain_serves_what_waits_in_the_kernels_queue():
-    """Symptom: a planned restart resets connections that it never saw.
+    """A drain serves connections that were not accepted yet.
 
-    A request has reached the kernel's queue, unaccepted, when accepting ends.  Cause:
-    closing a listening socket resets what waits in its queue.
+    Closing a listening socket resets the connections in the kernel's accept queue, so
+    a planned restart would reset requests that the process never saw.
     """
 
     async def test(bench):
         await until(lambda: bench.server._accepting)
-        # A plain socket, so that the server has no turn before the drain.
+        # A blocking socket, so that the server does not run before the drain.
         with standard_socket.create_connection(bench.address) as client:
             client.sendall(request_bytes("GET", "/services/varsel/a"))
             await bench.server.drain(Deadline.after(bench.clock, 60.0))
@@ -109,7 +109,7 @@
 
 
 def test_drain_closes_idle_connections_after_a_grace():
-    """An idle connection keeps for the grace, and ends after it."""
+    """An idle connection stays usable for the grace period."""
 
     async def test(bench):
         client = await bench.connect()
@@ -129,7 +129,7 @@
 
 
 def test_drain_gives_up_at_its_deadline():
-    """What does not end is cut off, its answer cancelled, and the drain says so."""
+    """At the deadline open answers are cancelled and `drain` returns False."""
 
     async def test(bench):
         client = await bench.connect()
--- a/siskinthread/callers/tests/test_leaving.py
+++ b/siskinthread/callers/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Callers that leave, pipeline, or are still sending."""
+"""Callers that disconnect, pipeline, or are still sending."""
 
 import socket as standard_socket
 import struct
@@ -26,10 +26,10 @@
 
 
 def test_retry_that_arrives_slowly_is_not_called_not_run():
-    """Symptom: an alert goes out twice, the second time by hand.
+    """A retry with a key whose body times out is reported as unknown.
 
-    The first try ran and its answer was lost; the body of the retry stalled on its way,
-    and the refusal of the retry read as if the alert had never run.
+    The first try may have run and its answer been lost.  A refusal "not run" of the
+    retry would make the caller issue the request again by other means.
     """
     sent = request_bytes("POST", "/services/varsel/a", b"abc", Idempotency_Key="k")
     sent = sent.replace(b"Host", b"Siskinthread-Issued-At: 1700000000000\r\nHost")
@@ -49,10 +49,10 @@
 @pytest.mark.parametrize("resets", [False, True])
 @pytest.mark.parametrize("events", [[], [event_stream_head(), TOKEN]])
 def test_caller_that_leaves_cancels_its_answer(events, resets):
-    """Symptom: engines go on with answers that nobody waits for.
+    """A caller that disconnects while the next event is awaited cancels its answer.
 
-    The caller gives up, before the first byte or in the middle of a stream, while this
-    side waits for the next event.  Cause: nobody reads from the caller meanwhile.
+    Unless the socket is read during that wait, the disconnection goes unnoticed before
+    the first byte and within a stream, and the engine continues an unwanted answer.
     """
 
     async def test(bench):
@@ -75,18 +75,18 @@
 
 
 def test_caller_that_left_before_its_request_was_read():
-    """Symptom: a request runs for nobody.
+    """A request is not run if its caller has already disconnected.
 
-    The caller sends a request and closes at once, and both are read together.  Cause:
-    only an end that comes during an answer was looked for.
+    The caller sends a request and closes at once, so that both are read together.  A
+    check for disconnections during an answer only would miss this.
     """
 
     async def test(bench):
         await until(lambda: bench.server._accepting)
-        # A plain socket, so that the server has no turn between the two.
+        # A blocking socket, so that the server does not run between the two calls.
         with standard_socket.create_connection(bench.address) as client:
             client.sendall(STREAM)
-        # Accepted after it.
+        # This connection is accepted after the first.
         await bench.exchange(request_bytes("GET", "/healthz"))
         await until(lambda: not bench.server._connections)
         return bench.dispatcher.requests
@@ -95,10 +95,10 @@
 
 
 def test_caller_that_leaves_while_its_request_begins():
-    """Symptom: a request runs on that nobody can cancel any more.
+    """An answer is cancelled if its caller disconnects while it is begun.
 
-    The caller leaves while the dispatcher begins the request.  Cause: the interruption
-    hits the dispatcher's call, and the answer that it had begun is lost.
+    If the interruption cancelled the call of the dispatcher, the answer would be lost
+    and the request would run on without a way to cancel it.
     """
 
     async def test(bench):
@@ -118,7 +118,7 @@
 
 
 def test_request_that_arrives_during_an_answer_is_not_lost():
-    """A pipelined request that comes while an answer is awaited is answered next."""
+    """A pipelined request that arrives during an answer is answered next."""
 
     async def test(bench):
         client = await bench.connect()
@@ -139,7 +139,7 @@
 
 
 def test_body_is_asked_for_once_the_head_is_accepted():
-    """A caller that expects 100-continue gets it, or the refusal without its body."""
+    """A caller that expects 100-continue gets it, or a refusal before its body."""
     headers = {"Expect": "100-continue", "Content_Length": 3}
 
     async def test(bench):
@@ -161,10 +161,10 @@
 
 
 def test_refusal_reaches_a_caller_that_is_still_sending():
-    """Symptom: a caller with too large a body sees a reset instead of the 413.
+    """A caller that is still sending an oversized body receives the 413.
 
-    The refusal is written while the body is still on its way, and the connection is
-    closed.  Cause: closing a socket with unread bytes makes the kernel reset it.
+    Closing a socket with unread bytes makes the kernel send a reset, which could
+    destroy the refusal before the caller has read it.
     """
     sent = request_bytes("POST", "/services/varsel/a", b"x" * 8_000_000)
 
--- a/siskinthread/callers/tests/test_limits.py
+++ b/siskinthread/callers/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a connection in time, size and number."""
+"""Limits on the time, size and number of connections and requests."""
 
 import contextlib
 import itertools
@@ -38,7 +38,7 @@
     ],
 )
 def test_slow_sender_is_refused(sent, phase):
-    """A head or body that does not end in time is answered with 408 and never runs."""
+    """A head or body that is not complete in time gets a 408 and is not run."""
 
     async def test(bench):
         client = await bench.connect()
@@ -54,10 +54,10 @@
 
 
 def test_pause_of_the_process_is_not_held_against_callers():
-    """Symptom: after an entry host was frozen, its streams break.
+    """A pause of the process does not expire the limits of its connections.
 
-    The process is paused for longer than a limit, while a caller goes on reading.
-    Cause: on waking, the watchdog looks at the clock before the write has gone on.
+    The process is paused for longer than a limit while a caller reads.  If the watchdog
+    checked the clock before the write could continue, it would break the stream.
     """
     parts = [Part(0, b"x" * 100_000)] * 30
 
@@ -72,7 +72,7 @@
             while True:
                 received_bytes += len(client.recv(READ_SIZE_BYTES))
         bench.clock.advance(31.0)
-        # Nothing else runs meanwhile, and the watchdog's next round becomes due.
+        # Block the process until the next round of the watchdog is due.
         time.sleep(10 * bench.settings.watch_interval_s)
         rest = await read_until_end_of_chunks(curio.io.Socket(client))
         return received_bytes + rest
@@ -95,10 +95,10 @@
 
 
 def test_bytes_that_have_come_go_before_a_limit_that_has_passed():
-    """Symptom: 408, refused and not run, for a request that runs.
+    """Bytes that have arrived are read even if the limit has passed.
 
-    The limit passes in the very round in which the last bytes are read, so that the
-    request is begun.  Cause: the interruption arrives after that.
+    The limit may pass in the round that reads the last bytes.  An interruption would
+    then report 408, refused and not run, for a request that has begun.
     """
 
     async def run():
@@ -118,10 +118,10 @@
 
 
 def test_slow_sender_that_stays_is_closed():
-    """Symptom: connections of slow senders pile up after their 408.
+    """A caller that neither sends nor closes after its 408 is disconnected.
 
-    A caller gets its 408 and neither sends nor closes.  Cause: a task can be
-    interrupted only once, and the limit on the head had used that up.
+    curio cancels a task only once.  If the limit on the head used that cancellation,
+    the connection could not be ended later and such connections would accumulate.
     """
 
     async def test(bench):
@@ -138,7 +138,7 @@
 
 
 def test_idle_connection_is_closed_silently():
-    """A connection without a request is closed after the idle limit."""
+    """A connection without a request is closed silently after the idle limit."""
 
     async def test(bench):
         client = await bench.connect()
@@ -150,13 +150,13 @@
 
 
 def test_watching_goes_on_after_an_unforeseen_error():
-    """Symptom: an entry host fills with connections that never end.
+    """The watchdog continues after an unexpected error in one of its rounds.
 
-    One round of the watchdog met an unforeseen error.  Cause: its task was gone then.
+    If the error ended its task, connections would never expire and fill the host.
     """
 
     class FaultyConnection:
-        """Fails when it is looked at, once."""
+        """Raises an error when the watchdog first checks it."""
 
         def __init__(self, connections):
             self._connections = connections
@@ -179,10 +179,11 @@
 
 
 def test_slow_reader_is_cut_off_and_its_answer_cancelled():
-    """Symptom: answers that nobody reads hold buffers and a place in an engine.
+    """A write without progress ends the connection and cancels the answer.
 
-    The caller's host vanishes in the middle of a stream, the socket takes no more
-    bytes, and the write never returns.  Cause: no limit on a write without progress.
+    If the caller's host vanishes within a stream, the socket accepts no more bytes.
+    Without a limit the write would block forever and hold buffers and a place in an
+    engine.
     """
 
     def endless(request):
@@ -221,7 +222,7 @@
     ],
 )
 def test_oversized_requests_are_refused(sent, status):
-    """Heads and bodies beyond the limits are refused, whole or not, and never run."""
+    """Heads and bodies beyond the limits are refused, complete or not, and not run."""
 
     async def test(bench):
         return await bench.exchange(sent), bench.dispatcher.requests
@@ -235,7 +236,7 @@
 
 
 def test_connections_beyond_the_limit_are_told_so():
-    """A surplus connection is refused, not run, but may still ask for the health."""
+    """Requests on a surplus connection are refused, except for the health check."""
 
     async def test(bench):
         first = await bench.connect()
@@ -253,7 +254,7 @@
 
 
 def test_bodies_of_all_connections_share_one_limit():
-    """A body beyond the memory for all is refused, not run, until another is done."""
+    """A body that would exceed the memory for all bodies is refused, not run."""
     post = request_bytes("POST", "/services/varsel/a", b"x" * 600)
 
     async def test(bench):
--- a/siskinthread/callers/tests/test_malformed.py
+++ b/siskinthread/callers/tests/test_malformed.py
@@ -1,4 +1,4 @@
-"""Bytes that are no HTTP."""
+"""Input that is not valid HTTP."""
 
 import curio
 from hypothesis import given, settings, strategies
@@ -15,8 +15,8 @@
 
 
 @strategies.composite
-def torn_requests(draw):
-    """Return requests with some bytes replaced, left out or put in."""
+def corrupted_requests(draw):
+    """Return requests with some bytes replaced, removed or inserted."""
     data = b"".join(draw(strategies.lists(strategies.sampled_from(VALID), max_size=3)))
     for _ in range(draw(strategies.integers(0, 4))):
         at = draw(strategies.integers(0, len(data)))
@@ -26,9 +26,9 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
-@given(strategies.one_of(torn_requests(), strategies.binary(max_size=200)))
+@given(strategies.one_of(corrupted_requests(), strategies.binary(max_size=200)))
 def test_garbage_ends_in_a_response_or_a_closed_connection(data):
-    """Whatever arrives, the connection ends, and the server serves the next one."""
+    """After any input the connection ends and the server serves the next connection."""
 
     async def run():
         async with Bench(lambda request: whole()).running() as bench:
--- a/siskinthread/callers/tests/test_relay.py
+++ b/siskinthread/callers/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What a caller takes for a whole answer, against the events that it was made from."""
+"""Relayed responses as an HTTP client parses them, compared with the events."""
 
 from types import SimpleNamespace
 
@@ -15,8 +15,8 @@
 LIMIT_BYTES = 20
 
 
-class Seen:
-    """A response as an independent HTTP client reads it."""
+class ParsedResponse:
+    """A response as parsed by an independent HTTP client."""
 
     def __init__(self, received):
         self.status = None
@@ -50,10 +50,10 @@
     outcome=strategies.sampled_from(Outcome),
 )
 def test_only_whole_answers_look_whole(parts, surplus, content_type, outcome):
-    """A caller's client sees a whole 200 exactly if the answer was whole.
+    """A client parses a complete 200 response if and only if the answer was complete.
 
-    The naive version joins the parts; the announced length is absent, right or wrong,
-    and the answer is buffered or streamed.
+    The expected body is the join of the parts.  The announced length is absent, right
+    or wrong, and the answer is buffered or streamed.
     """
     body = b"".join(parts)
     headers = [("content-type", content_type)]
@@ -67,43 +67,43 @@
         async with script.running() as bench:
             return await bench.exchange(GET)
 
-    seen = Seen(curio.run(run))
+    parsed = ParsedResponse(curio.run(run))
     streams = content_type == "text/event-stream"
     length_fits = streams or surplus is None or headers[-1][1] == str(len(body))
     expects_whole = outcome is Outcome.ANSWERED and length_fits
-    assert (seen.whole and seen.status == 200) == expects_whole
+    assert (parsed.whole and parsed.status == 200) == expects_whole
     if expects_whole:
-        assert seen.body == body
+        assert parsed.body == body
 
 
 class Connection:
-    """Notes what is written to a caller."""
+    """Records the body bytes written to a caller."""
 
     def __init__(self):
         self.written = b""
 
     def carries_body(self, status):
-        """Let every answer have a body."""
+        """Return True for every answer."""
         return True
 
     async def write_head(self, status, headers):
-        """Take the head."""
+        """Ignore the head."""
 
     async def write_data(self, data):
-        """Take bytes of the body."""
+        """Record bytes of the body."""
         self.written += data
 
     async def write_end(self):
-        """Take the end."""
+        """Ignore the end."""
 
 
 @pytest.mark.parametrize("outcome", Outcome)
 def test_announced_length_is_reached_by_whole_answers_only(outcome):
-    """Symptom: a caller takes an answer for whole whose outcome is unknown.
+    """The last bytes of an announced length are sent only after a good outcome.
 
-    Events: an answer above the limit of those that are held announces its length; all
-    of its bytes come, and then that it has failed.  Cause: the last bytes went out
-    before; whether the caller read them before the connection was closed was chance.
+    An answer too large to buffer announces its length, delivers all bytes and then
+    fails.  If the last bytes were sent at once, the caller could read them before the
+    connection is closed and take the answer as complete.
     """
     body = [b"x" * 20, b"y"]
     headers = [("content-type", "text/plain"), ("content-length", "21")]
--- a/siskinthread/callers/tests/test_requests.py
+++ b/siskinthread/callers/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""From headers and body to a `CallerRequest`, or a refusal."""
+"""Building a `CallerRequest` or a refusal from headers and body."""
 
 import curio
 import pytest
@@ -20,7 +20,7 @@
 
 
 def exchange(data, change=None):
-    """Return what was answered and the requests that the dispatcher got."""
+    """Return the response and the requests that the dispatcher received."""
 
     async def run():
         async with Bench(lambda request: whole()).running() as bench:
@@ -61,13 +61,13 @@
     ],
 )
 def test_default_of_idempotence(data, idempotent):
-    """Chats are idempotent, services by method, and the caller's word goes first."""
+    """Chats are idempotent, services by method; the caller's header has precedence."""
     _, requests = exchange(data)
     assert [request.idempotent for request in requests] == [idempotent]
 
 
 def test_request_id_of_a_key_is_the_same_on_every_entry():
-    """The id follows from service, account and key, and the issue time is passed on."""
+    """The id is derived from service, account and key; the issue time is passed on."""
     data = alert(Idempotency_Key="crossing-4", Siskinthread_Issued_At=NOW_MS - 5)
     _, (request,) = exchange(data)
     assert request.request_id == "key/varsel/inspectorate/crossing-4"
@@ -75,7 +75,7 @@
 
 
 def test_issue_time_follows_from_an_absolute_deadline():
-    """Without a stated issue time it is the deadline less the life of a key."""
+    """The default issue time is the deadline minus the lifetime of a key."""
     deadline_ms = NOW_MS + 10 * SECOND_MS
     data = alert(Idempotency_Key="k", Siskinthread_Deadline=deadline_ms)
     _, (request,) = exchange(data)
@@ -83,10 +83,10 @@
 
 
 def test_keyed_request_never_waits_past_the_life_of_its_key():
-    """Symptom: an alert runs twice.
+    """The deadline of a keyed request is limited to the lifetime of its key.
 
-    A retry late in the life of its key waits for its home until after the agent forgot
-    the key, and then runs as new.  Cause: only the caller's own deadline was kept.
+    With the caller's deadline alone, a late retry could wait until the agent has
+    forgotten the key, and then run a second time.
     """
     issued_at_ms = NOW_MS - LIFETIME_MS + 11 * SECOND_MS
     data = alert(
@@ -130,26 +130,26 @@
     ],
 )
 def test_keyed_request_whose_issue_time_does_not_do(headers, status, outcome, reason):
-    """Without a usable issue time nothing runs; a late retry may have run before."""
+    """Without a valid issue time nothing runs; a late retry may have run before."""
     received, requests = exchange(alert(Idempotency_Key="k", **headers))
     assert requests == []
     assert is_outcome(received, status, outcome, reason)
 
 
 def refuse_admission(bench):
-    """Refuse everything for its limits."""
+    """Make admission refuse all requests."""
     bench.admission.refusal = End(
         Outcome.REFUSED_NOT_RUN, Reason.LIMITED, retry_after_s=1.5
     )
 
 
 def forget_configuration(bench):
-    """Take the configuration away."""
+    """Remove the configuration."""
     bench.view.state = None
 
 
 def close_varsel(bench):
-    """Take the account's right to the service away, as a lagging entry sees it."""
+    """Remove the service, as on an entry with an older configuration."""
     bench.view.state.services.pop("varsel")
 
 
@@ -162,11 +162,11 @@
     ],
 )
 def test_refusal_before_the_home_was_asked(change, status, reason):
-    """Symptom: an alert goes out twice, the second time by hand.
+    """A refusal by the entry is "not run" without a key and unknown with one.
 
-    The first try ran through another entry and its answer was lost.  The retry came to
-    this entry, was refused and said so as "not run".  Cause: this entry spoke for tries
-    that it knows nothing of.  Without a key there are no other tries.
+    The first try of a key may have run through another entry and its answer been lost.
+    If this entry reported its refusal of the retry as "not run", the caller would issue
+    the request again by other means.  Without a key there are no other tries.
     """
     received, requests = exchange(alert(), change)
     assert is_outcome(received, status, "refused_not_run", reason)
@@ -205,14 +205,14 @@
     ],
 )
 def test_unreadable_headers_are_refused(headers):
-    """A header that can't be read is refused and never guessed at."""
+    """A request with an unreadable header is refused."""
     received, requests = exchange(alert(**headers))
     assert is_outcome(received, 400, "refused_not_run", "bad_request")
     assert requests == []
 
 
 def test_target_does_not_see_keys_or_a_callers_claims():
-    """The bearer key, hop-by-hop headers and forged headers of ours stay here."""
+    """Bearer key, hop-by-hop headers and forged system headers are not forwarded."""
     data = alert(X_Account="other", X_Priority=0, Accept_Encoding="gzip", Accept="a/b")
     _, (request,) = exchange(data)
     assert request.headers == [("accept", "a/b")]
@@ -235,12 +235,12 @@
     ],
 )
 def test_unsuitable_chat_bodies_are_refused(body):
-    """A body that the system can't read for sure is refused."""
+    """A malformed or ambiguous body is refused."""
     assert isinstance(read_chat_body(body, CallerSettings()), Refusal)
 
 
 def test_prefix_key_is_that_of_the_head_of_the_messages():
-    """Requests that share their first messages share the key; others do not."""
+    """Requests have the same key if and only if their messages start alike."""
     settings = CallerSettings(prefix_head_bytes=40)
 
     def key(text):
--- a/siskinthread/callers/tests/test_sessions.py
+++ b/siskinthread/callers/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions against golden files: bytes in, bytes out."""
+"""Complete sessions, compared byte by byte with golden files."""
 
 from pathlib import Path
 
@@ -23,7 +23,7 @@
 
 
 def chat(*events):
-    """Return the script of a dispatcher that gives every request the same events."""
+    """Return a dispatcher script with the same events for every request."""
     return lambda request: events
 
 
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("name", SESSIONS)
 def test_session_matches_golden_file(name):
-    """A session's bytes are those of its golden file."""
+    """The bytes of a session equal its golden file."""
     sent, script = SESSIONS[name]
 
     async def run():
