--- a/siskinthread/http_server/__init__.py
+++ b/siskinthread/http_server/__init__.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 towards callers: connections, their limits in time, a stop without cuts.
+"""HTTP/1.1 server for callers: connections, time limits and graceful drain.
 
 Interface: ``ConnectionServer(settings, context, build_session, clock, open_count)``
 with ``async run(listening socket)`` and ``async drain(deadline)``.  A `Session` reads
-each request from its `CallerConnection` (``read_head``, ``read_body``) and writes the
+requests from its `CallerConnection` (``read_head``, ``read_body``) and writes the
 response (``write_whole``, or ``write_head``, ``write_data``, ``write_end``).
 """
 
--- a/siskinthread/http_server/_body_budget.py
+++ b/siskinthread/http_server/_body_budget.py
@@ -1,13 +1,13 @@
-"""Memory that the bodies of all requests may take together."""
+"""Limit on the memory of all request bodies together."""
 
 
 class BodyBudget:
-    """Counts the bytes of bodies that are held.
+    """Counts the bytes of the request bodies in memory.
 
     Parameters
     ----------
     limit_bytes : float
-        Most bytes at once.
+        Maximum number of bytes in memory at once.
     """
 
     __slots__ = ("_limit_bytes", "held_bytes")
@@ -17,28 +17,28 @@
         self.held_bytes = 0
 
     def share(self):
-        """Return a `BodyShare` for one request."""
+        """Return a new `BodyShare` for one request."""
         return BodyShare(self)
 
     def take(self, size_bytes):
-        """Count bytes as held; return whether they fit."""
+        """Reserve bytes; return whether they fit into the budget."""
         if self.held_bytes + size_bytes > self._limit_bytes:
             return False
         self.held_bytes += size_bytes
         return True
 
-    def give_back(self, size_bytes):
-        """Count bytes as free again."""
+    def free(self, size_bytes):
+        """Release reserved bytes."""
         self.held_bytes -= size_bytes
 
 
 class BodyShare:
-    """What one request holds of a `BodyBudget`.
+    """The bytes that one request has reserved in a `BodyBudget`.
 
     Parameters
     ----------
     budget : BodyBudget
-        Where it is counted.
+        Budget in which the bytes are reserved.
     """
 
     __slots__ = ("_budget", "_held_bytes")
@@ -48,21 +48,21 @@
         self._held_bytes = 0
 
     def take(self, size_bytes):
-        """Hold more bytes; return whether they fit."""
+        """Reserve more bytes; return whether they fit."""
         if not self._budget.take(size_bytes):
             return False
         self._held_bytes += size_bytes
         return True
 
     def hold(self, size_bytes):
-        """Hold so many bytes in place of those before; return whether they fit.
+        """Replace the reservation by one of `size_bytes`; return whether it fits.
 
-        Nothing is held if they don't.
+        If it doesn't fit, nothing remains reserved.
         """
         self.release()
         return self.take(size_bytes)
 
     def release(self):
-        """Give everything back."""
-        self._budget.give_back(self._held_bytes)
+        """Release all reserved bytes."""
+        self._budget.free(self._held_bytes)
         self._held_bytes = 0
--- a/siskinthread/http_server/_caller_socket.py
+++ b/siskinthread/http_server/_caller_socket.py
@@ -1,4 +1,4 @@
-"""Bytes from and to one caller, and the limits in time of its connection."""
+"""Input and output of one caller's socket, with time limits."""
 
 import enum
 import socket as standard_socket
@@ -11,13 +11,13 @@
 
 RECEIVE_SIZE_BYTES = 65_536
 MILLISECONDS_PER_SECOND = 1000
-# A write that waits has filled the kernel's send buffer, which the kernel makes twice
-# as large as it was asked for.
+# A blocked write has filled the kernel's send buffer, which the kernel makes twice as
+# large as requested.
 KERNEL_BUFFER_FACTOR = 2
 
 
 class Phase(enum.Enum):
-    """What a connection waits for."""
+    """Phase of a connection, by what it waits for."""
 
     IDLE = "idle"
     HEAD = "head"
@@ -28,7 +28,7 @@
 
 
 class Ending(enum.Enum):
-    """Why a connection was ended before its time."""
+    """Why a connection was ended early."""
 
     CALLER_LEFT = "caller_left"
     IDLE = "idle"
@@ -36,7 +36,7 @@
     SLOW_BODY = "slow_body"
     SLOW_READER = "slow_reader"
     LINGERED = "lingered"
-    # A slow reader, while the host holds as much for such callers as it may.
+    # A slow reader, ended because buffered bytes exceed the limit for all slow readers.
     MEMORY = "memory"
 
 
@@ -49,11 +49,11 @@
 
 
 class CallerSocket:
-    """Reads ahead from a caller and writes to it.
+    """Reads ahead from a caller's socket and writes to it.
 
-    Two tasks belong to a connection: the one that serves it, and a reader that notices
-    at any time that the caller left.  A third, the server's watchdog, looks at
-    `expires_at_s` of all connections, so that no write needs a timeout of its own.
+    Each connection has two tasks: one serves it, the other reads, so that a
+    disconnection is noticed at any time.  The server's watchdog checks `expires_at_s`
+    of all connections, so that writes need no timeouts of their own.
 
     Parameters
     ----------
@@ -62,34 +62,35 @@
     settings : CallerSettings
         Limits.
     clock : siskinthread.timing.Clock
-        For the limits in time.
+        Clock for the time limits.
 
     Attributes
     ----------
     phase : Phase
-        What is waited for.
+        What the connection waits for.
     expires_at_s : float or None
-        When that has taken too long, monotonic seconds.
+        When the time limit of the phase passes, monotonic seconds; None without a
+        limit.
     ending : Ending or None
-        Why the connection was ended early.
+        Why the connection was ended early, None if it was not.
     caller_left : bool
         Whether the caller closed its side or the connection failed.
     unsent_bytes : int
-        Bytes of the present write that the kernel has not taken.
-    waits_since_s : float or None
-        When that write began, monotonic seconds; None without one.
+        Bytes of the current write that the kernel has not accepted yet.
+    write_started_at_s : float or None
+        When the current write began, monotonic seconds; None without one.
     """
 
     __slots__ = (
-        "_arrived",
+        "_input_changed",
         "_clock",
         "_incoming",
         "_incoming_bytes",
         "_interrupted",
         "_limit_passed",
         "_reader",
-        "_room",
-        "_server_task",
+        "_buffer_space",
+        "_serving_task",
         "_settings",
         "_socket",
         "caller_left",
@@ -97,7 +98,7 @@
         "expires_at_s",
         "phase",
         "unsent_bytes",
-        "waits_since_s",
+        "write_started_at_s",
     )
 
     def __init__(self, socket, settings, clock):
@@ -108,21 +109,21 @@
         self._incoming_bytes = 0
         self._interrupted = False
         self._limit_passed = False
-        self._arrived = curio.Event()
-        self._room = curio.Event()
+        self._input_changed = curio.Event()
+        self._buffer_space = curio.Event()
         self._reader = None
-        self._server_task = None
+        self._serving_task = None
         self.caller_left = False
         self.ending = None
         self.phase = Phase.IDLE
         self.expires_at_s = None
         self.unsent_bytes = 0
-        self.waits_since_s = None
+        self.write_started_at_s = None
 
     async def open(self):
-        """Prepare the socket and start reading; called by the task that serves."""
+        """Set socket options and start reading; called by the serving task."""
         self._set_socket_options()
-        self._server_task = await curio.current_task()
+        self._serving_task = await curio.current_task()
         self._reader = await curio.spawn(self._read_ahead, daemon=True)
 
     async def close(self):
@@ -132,13 +133,13 @@
         await self._socket.close()
 
     async def abort(self):
-        """Stop reading and reset the connection: its answer is not whole."""
+        """Stop reading and reset the connection because its answer is incomplete."""
         if self._reader is not None:
             await self._reader.cancel()
         await reset(self._socket)
 
     def held_bytes(self):
-        """Return the bytes that are held because the caller reads slowly."""
+        """Return the bytes buffered because the caller reads slowly."""
         if not self.unsent_bytes:
             return 0
         return self.unsent_bytes + (
@@ -146,41 +147,41 @@
         )
 
     async def end_for_memory(self):
-        """End the connection, whose caller does not take what is written."""
+        """End the connection of a slow reader to free its buffers."""
         await self._interrupt(Ending.MEMORY)
 
     async def expire(self):
-        """Note that the phase has taken too long.
+        """Handle the expiry of the phase's time limit.
 
-        A wait for the caller's bytes ends by itself, and only if there are none: a
-        request whose last bytes have just come is never refused as too slow, and so as
-        not run, while it is begun.
+        A write is interrupted.  A read ends by itself, and only if no bytes are
+        buffered: otherwise a request whose last bytes have just arrived could be
+        reported as too slow and not run although it has begun.
         """
         self.expires_at_s = None
         if self.phase is Phase.WRITE:
             await self._interrupt(Ending.SLOW_READER)
         else:
             self._limit_passed = True
-            await self._arrived.set()
+            await self._input_changed.set()
 
     def enter(self, phase, limit_s):
-        """Begin a phase that may take `limit_s` seconds."""
+        """Enter a phase that may take `limit_s` seconds."""
         self.phase = phase
         self._limit_passed = False
         self.expires_at_s = self._clock.monotonic_s() + limit_s
 
     def enter_answer(self):
-        """Begin to wait for the answer, which has a deadline of its own."""
+        """Enter the wait for the answer, which has its own deadline."""
         self.phase = Phase.ANSWER
         self.expires_at_s = None
 
     async def receive(self):
-        """Return the next bytes of the caller.
+        """Return the next bytes from the caller.
 
         Returns
         -------
         bytes or None
-            No bytes at the end; None if the phase has taken too long.
+            Empty at the end of the input; None if the phase's time limit has passed.
         """
         while not self._incoming:
             if self.caller_left:
@@ -188,15 +189,15 @@
             if self._limit_passed:
                 self.ending = self.ending or ENDING_BY_PHASE[self.phase]
                 return None
-            self._arrived.clear()
-            await self._arrived.wait()
+            self._input_changed.clear()
+            await self._input_changed.wait()
         data = self._incoming.popleft()
         self._incoming_bytes -= len(data)
-        await self._room.set()
+        await self._buffer_space.set()
         return data
 
     async def write(self, data):
-        """Write bytes; a write without progress ends the connection.
+        """Write bytes; the watchdog ends the connection if a write makes no progress.
 
         Raises
         ------
@@ -207,7 +208,7 @@
         send = self._socket.send
         self.phase = Phase.WRITE
         self.unsent_bytes = len(data)
-        self.waits_since_s = self._clock.monotonic_s()
+        self.write_started_at_s = self._clock.monotonic_s()
         try:
             while data:
                 self.expires_at_s = self._clock.monotonic_s() + limit_s
@@ -218,16 +219,17 @@
                 data = memoryview(data)[sent_bytes:]
         except OSError:
             self.caller_left = True
-            raise ConnectionLostError("the caller's connection failed") from None
+            raise ConnectionLostError("write to the caller failed") from None
         self.phase = Phase.ANSWER
         self.expires_at_s = None
-        self.waits_since_s = None
+        self.write_started_at_s = None
 
     async def linger(self):
-        """Close our side and wait a little for the caller to close its own.
+        """Close the sending side and wait for the caller to close its own.
 
-        Closing while bytes of the caller are unread makes the kernel send a reset,
-        which can destroy the last response before the caller has read it.
+        Closing a socket with unread bytes makes the kernel send a reset, which can
+        destroy the last response before the caller has read it.  The wait is limited to
+        ``linger_limit_s``.
         """
         if self.caller_left:
             return
@@ -248,37 +250,37 @@
             self._incoming.append(data)
             self._incoming_bytes += len(data)
             self.caller_left = not data
-            await self._arrived.set()
+            await self._input_changed.set()
             if self.caller_left and self.phase in (Phase.ANSWER, Phase.WRITE):
                 await self._interrupt(Ending.CALLER_LEFT)
             while self._incoming_bytes >= self._settings.pipelined_limit_bytes:
-                self._room.clear()
-                await self._room.wait()
+                self._buffer_space.clear()
+                await self._buffer_space.wait()
 
     async def _interrupt(self, ending):
-        """Cancel the serving task, which waits for an answer or for room to write.
+        """Cancel the serving task, which waits for an answer or for buffer space.
 
-        It ends with that: curio cancels a task no more than once.
+        Only the first interruption has an effect, as curio cancels a task only once.
         """
         if not self._interrupted:
             self._interrupted = True
             self.ending = ending
-            await self._server_task.cancel(blocking=False)
+            await self._serving_task.cancel(blocking=False)
 
     def _set_socket_options(self):
         user_timeout_ms = round(
             self._settings.write_progress_limit_s * MILLISECONDS_PER_SECOND
         )
         options = (
-            # Without it a token waits for the acknowledgement of the one before.
+            # With Nagle's algorithm a token waits for the acknowledgement of the last.
             (standard_socket.IPPROTO_TCP, standard_socket.TCP_NODELAY, 1),
             (
                 standard_socket.SOL_SOCKET,
                 standard_socket.SO_SNDBUF,
                 self._settings.send_buffer_bytes,
             ),
-            # A caller that silently vanished takes no bytes, but small events would
-            # fill the kernel's buffer only after minutes.
+            # Small events to a caller that vanished silently would take minutes to fill
+            # the kernel's buffer, so the write timeout alone is too late.
             (
                 standard_socket.IPPROTO_TCP,
                 standard_socket.TCP_USER_TIMEOUT,
@@ -289,5 +291,5 @@
             try:
                 self._socket.setsockopt(level, name, value)
             except OSError:
-                # The caller is gone already; reading will tell.
+                # The caller has disconnected already; the reader will notice it.
                 return
--- a/siskinthread/http_server/_connection.py
+++ b/siskinthread/http_server/_connection.py
@@ -1,4 +1,4 @@
-"""HTTP framing of one connection, by h11."""
+"""HTTP framing of one connection with h11."""
 
 import http.client
 
@@ -11,9 +11,9 @@
 
 RETRY_FULL_S = 1.0
 STATUS_WITHOUT_BODY = (204, 304)
-# Callers of an older version get no chunks.
+# Callers with an older HTTP version get no chunked encoding.
 FIRST_CHUNKED_VERSION = b"1.1"
-# Stands for an event of h11 when the caller took too long.
+# Returned instead of an h11 event when a time limit has passed.
 LIMIT_PASSED = object()
 
 
@@ -27,12 +27,12 @@
     settings : CallerSettings
         Limits.
     clock : siskinthread.timing.Clock
-        For the limits in time.
+        Clock for the time limits.
 
     Attributes
     ----------
     caller : CallerSocket
-        The bytes and limits beneath.
+        The socket with its time limits.
     """
 
     __slots__ = ("_ends_by_close", "_http", "_method", "_settings", "caller")
@@ -44,7 +44,7 @@
             h11.SERVER, max_incomplete_event_size=settings.head_size_limit_bytes
         )
         self._method = None
-        # Whether only the end of the connection tells where the answer ends.
+        # Whether the answer has no framing but the end of the connection.
         self._ends_by_close = False
 
     # Requests.
@@ -55,16 +55,16 @@
         Parameters
         ----------
         idle_limit_s : float
-            Longest wait for its first byte, seconds.
+            Maximum time to wait for the first byte, seconds.
         """
         self.caller.enter(Phase.IDLE, idle_limit_s)
         self._method = None
         try:
             event = await self._next_event()
         except h11.RemoteProtocolError as error:
-            return _refusal_of(error)
+            return _protocol_refusal(error)
         if event is LIMIT_PASSED and self.caller.phase is not Phase.IDLE:
-            return _too_slow()
+            return _timeout_refusal()
         if not isinstance(event, h11.Request):
             return None
         self.caller.enter(Phase.BODY, self._settings.body_limit_s)
@@ -83,32 +83,32 @@
         )
 
     async def read_body(self, share):
-        """Return the whole body as bytes, or a `Refusal`.
+        """Return the complete body as bytes, or a `Refusal`.
 
         Parameters
         ----------
         share : BodyShare
-            Where the bytes are counted.
+            Reservation for the bytes of the body.
         """
         parts = []
-        left = self._settings.body_size_limit_bytes
+        left_bytes = self._settings.body_size_limit_bytes
         while True:
             try:
                 event = await self._next_event()
             except h11.RemoteProtocolError as error:
-                return _refusal_of(error)
+                return _protocol_refusal(error)
             if isinstance(event, h11.EndOfMessage):
                 self.caller.enter_answer()
                 return b"".join(parts)
             if event is LIMIT_PASSED:
-                return _too_slow()
+                return _timeout_refusal()
             if not isinstance(event, h11.Data):
                 return bad_request("The body is incomplete.", closes=True)
-            left -= len(event.data)
-            if left < 0:
+            left_bytes -= len(event.data)
+            if left_bytes < 0:
                 return bad_request("The body is too large.", status=413, closes=True)
             if not share.take(len(event.data)):
-                return _no_memory()
+                return _memory_refusal()
             parts.append(bytes(event.data))
 
     def start_next_request(self):
@@ -128,7 +128,7 @@
         Raises
         ------
         h11.LocalProtocolError
-            If the headers can't be sent.
+            If the headers are not valid HTTP.
         """
         names = {name.lower() for name, _ in headers}
         is_old = self._http.their_http_version < FIRST_CHUNKED_VERSION
@@ -136,7 +136,7 @@
         await self.caller.write(self._http.send(_response(status, headers)))
 
     async def write_data(self, data):
-        """Write the next bytes of a body: one framing, one write.
+        """Write the next bytes of a body as one chunk, with one write.
 
         Raises
         ------
@@ -146,7 +146,7 @@
         await self.caller.write(self._http.send(h11.Data(data)))
 
     async def write_end(self):
-        """Write the end of a body, which says that it was whole.
+        """Write the end of a body, which marks it as complete.
 
         Raises
         ------
@@ -156,12 +156,12 @@
         await self.caller.write(self._http.send(h11.EndOfMessage()))
 
     async def write_whole(self, status, headers, body):
-        """Write a response at once.
+        """Write a complete response with one write.
 
         Raises
         ------
         h11.LocalProtocolError
-            If the headers can't be sent; nothing was written then.
+            If the headers are not valid HTTP; nothing is written then.
         """
         data = self._http.send(_response(status, headers))
         if self.carries_body(status):
@@ -169,10 +169,12 @@
         data += self._http.send(h11.EndOfMessage())
         await self.caller.write(data)
 
-    def looks_whole_if_closed(self):
-        """Return whether closing would make an incomplete answer look whole."""
-        is_whole = self._http.our_state not in (h11.SEND_BODY, h11.ERROR)
-        return self._ends_by_close and not (is_whole and not self.caller.unsent_bytes)
+    def appears_complete_if_closed(self):
+        """Return whether closing would make an incomplete answer appear complete."""
+        is_complete = self._http.our_state not in (h11.SEND_BODY, h11.ERROR)
+        return self._ends_by_close and not (
+            is_complete and not self.caller.unsent_bytes
+        )
 
     def carries_body(self, status):
         """Return whether a response with this status has a body."""
@@ -194,8 +196,8 @@
             self._http.receive_data(data)
 
     async def _write_continue(self):
-        go_on = h11.InformationalResponse(status_code=100, headers=[])
-        await self.caller.write(self._http.send(go_on))
+        continue_response = h11.InformationalResponse(status_code=100, headers=[])
+        await self.caller.write(self._http.send(continue_response))
         self.caller.enter(Phase.BODY, self._settings.body_limit_s)
 
 
@@ -210,11 +212,11 @@
     return h11.Response(status_code=status, headers=headers, reason=phrase)
 
 
-def _too_slow():
+def _timeout_refusal():
     return bad_request("The request did not arrive in time.", status=408, closes=True)
 
 
-def _no_memory():
+def _memory_refusal():
     return refuse(
         Reason.OVERLOADED,
         "This host holds too many bodies of requests.",
@@ -223,9 +225,9 @@
     )
 
 
-def _refusal_of(error):
+def _protocol_refusal(error):
     status = error.error_status_hint
-    # h11 puts the offending bytes behind a colon; they are not for a response.
+    # h11 puts the invalid bytes after a colon; a response must not repeat them.
     fault = str(error).partition(":")[0]
     if status == 431:
         return bad_request("The head is too large.", status=431, closes=True)
--- a/siskinthread/http_server/_head.py
+++ b/siskinthread/http_server/_head.py
@@ -1,4 +1,4 @@
-"""Head of a caller's request."""
+"""Head of an HTTP request, and filtering of headers."""
 
 from siskinthread.http_server._refusal import bad_request
 
@@ -18,16 +18,16 @@
 
 
 class RequestHead:
-    """Request line and headers.
+    """Request line and headers of a request.
 
     Parameters
     ----------
     method, target : str
-        Request line.
+        Method and target of the request line.
     headers : list of tuple of str
         Pairs of lower-case name and value.
     http_version : str
-        For example "1.1".
+        HTTP version, for example "1.1".
     """
 
     __slots__ = ("headers", "http_version", "method", "target")
@@ -39,21 +39,21 @@
         self.http_version = http_version
 
     def value(self, name):
-        """Return the first header of a lower-case name, or None."""
+        """Return the value of the first header with a lower-case name, or None."""
         for candidate, value in self.headers:
             if candidate == name:
                 return value
         return None
 
     def repeated_header(self, single_names):
-        """Return a `Refusal` if a header stands twice that may stand once.
+        """Return a `Refusal` if a header that must be unique is repeated, else None.
 
-        With two keys or two deadlines any choice could be the wrong one.
+        Of two keys or two deadlines either could be the wrong one.
 
         Parameters
         ----------
         single_names : frozenset of str
-            Lower-case names of these headers.
+            Lower-case names of the headers that must be unique.
         """
         names = [name for name, _ in self.headers if name in single_names]
         for name in names:
@@ -76,14 +76,15 @@
 
 
 def relayed_headers(headers, withheld):
-    """Return the headers that go on to the other side.
+    """Return the headers that may be forwarded.
 
     Parameters
     ----------
     headers : list of tuple of str
         Pairs of lower-case name and value.
     withheld : frozenset of str
-        Names to leave out beside those that ``Connection`` nominates and our own.
+        Lower-case names to leave out, in addition to the names listed in
+        ``Connection``.
 
     Returns
     -------
--- a/siskinthread/http_server/_refusal.py
+++ b/siskinthread/http_server/_refusal.py
@@ -1,4 +1,4 @@
-"""Requests turned away before any target was asked."""
+"""Refusals of requests before any target is called."""
 
 from siskinthread.outcomes import End, Outcome, Reason
 
@@ -17,7 +17,7 @@
 
 
 class Refusal:
-    """A request that was turned away, and how the caller is told.
+    """A refusal of a request, and the HTTP response that reports it.
 
     Parameters
     ----------
@@ -26,9 +26,9 @@
     status : int
         HTTP status.
     headers : list of tuple of str
-        Further headers of the response.
+        Additional headers of the response.
     closes : bool
-        Whether the connection can't be used for another request.
+        Whether the connection is closed after the response.
     """
 
     __slots__ = ("closes", "end", "headers", "status")
@@ -41,14 +41,14 @@
 
 
 def status_of(end):
-    """Return the HTTP status that stands for an `End` other than an answer."""
+    """Return the HTTP status for an `End` that is not ``ANSWERED``."""
     if end.outcome is Outcome.REFUSED_NOT_RUN:
         return STATUS_BY_REASON.get(end.reason, 503)
     return STATUS_BY_OUTCOME.get(end.outcome, 502)
 
 
 def refuse(reason, message, status=None, headers=(), closes=False, retry_after_s=None):
-    """Return the `Refusal` of a request that truly did not run."""
+    """Return the ``REFUSED_NOT_RUN`` `Refusal` of a request that was never run."""
     end = End(
         Outcome.REFUSED_NOT_RUN, reason, message=message, retry_after_s=retry_after_s
     )
@@ -56,5 +56,5 @@
 
 
 def bad_request(message, status=400, headers=(), closes=False):
-    """Return the `Refusal` of a request that can't be understood."""
+    """Return the `Refusal` of a malformed or unsupported request."""
     return refuse(Reason.BAD_REQUEST, message, status, headers, closes)
--- a/siskinthread/http_server/_server.py
+++ b/siskinthread/http_server/_server.py
@@ -1,4 +1,4 @@
-"""Accepting connections, watching their limits, draining."""
+"""Accept connections, enforce their limits and drain them."""
 
 import errno
 
@@ -10,16 +10,17 @@
 from siskinthread.observability import part_logger
 from siskinthread.timing import Deadline, SYSTEM_CLOCK
 
-# Connections beyond the limit that still get a refusal in words.
-SURPLUS_LIMIT = 64
+# Connections beyond the limit that get a refusal; further ones are closed at once.
+REFUSED_CONNECTIONS_LIMIT = 64
 ACCEPT_PAUSE_S = 0.1
-# How long a failed try counts; several times the pause between two tries.
-FULL_MEMORY_S = 0.5
-DUTY_PAUSE_S = 0.1
-# The kernel's queue is empty if accepting takes so long.
-QUEUE_EMPTY_S = 0.01
-# A round of the watchdog that comes so late shows that the process did not run.
-PAUSE_S = 2.0
+# How long a failed accept counts as a lack of room; must exceed ACCEPT_PAUSE_S so that
+# repeated failures count without gaps.
+ACCEPT_FAILED_S = 0.5
+RESTART_PAUSE_S = 0.1
+# If accepting takes longer, the kernel's accept queue is considered empty.
+QUEUE_EMPTY_TIMEOUT_S = 0.01
+# A longer interval between rounds of the watchdog means that the process was paused.
+PROCESS_PAUSE_S = 2.0
 
 logger = part_logger("callers")
 
@@ -33,23 +34,22 @@
         Limits: ``connections_limit``, ``watch_interval_s``, ``linger_limit_s``,
         ``idle_grace_s``, ``balancer_notice_s`` and those of `CallerConnection`.
     context : object
-        Has ``draining``, set when readiness fails, and ``closing``, set when each
-        response is the last one of its connection.
+        Object with ``draining``, set when readiness fails, and ``closing``, set when
+        each connection is to be closed after its next response.
     build_session : callable
-        Takes a `CallerConnection` and whether it is one too many; returns an object
-        with ``async run()`` that serves the connection and closes it.
+        Called with a `CallerConnection` and whether it exceeds the limit; returns an
+        object with ``async run()`` that serves the connection and closes it.
     clock : siskinthread.timing.Clock
-        Clocks.
+        Clock for the time limits.
     open_count : prometheus_client.Gauge
         Set to the number of open connections.
     held_limit_bytes : int
-        Most bytes that are held for callers that read slowly, all together; 0 for any
-        number.
+        Maximum number of bytes buffered for all slow readers together; 0 for no limit.
     """
 
     __slots__ = (
         "_accepting",
-        "_broken",
+        "_invariant_error",
         "_build_session",
         "_clock",
         "_connections",
@@ -57,7 +57,7 @@
         "_emptied",
         "_listening_socket",
         "_open_count",
-        "_full_until",
+        "_accept_failed_until",
         "_held_limit_bytes",
         "_settings",
         "_stopped",
@@ -83,16 +83,16 @@
         self._stopped = curio.Event()
         self._accepting = None
         self._listening_socket = None
-        self._broken = None
-        self._full_until = Deadline.after(clock, 0.0)
+        self._invariant_error = None
+        self._accept_failed_until = Deadline.after(clock, 0.0)
 
     @property
     def has_room(self):
-        """Whether no try to accept a connection has failed lately.
+        """Whether no accept has failed recently.
 
-        A try fails for want of descriptors or memory.
+        Accepting fails if file descriptors or memory run out.
         """
-        return self._full_until.passed()
+        return self._accept_failed_until.passed()
 
     async def run(self, listening_socket):
         """Serve until a drain has finished or the task is cancelled.
@@ -100,17 +100,19 @@
         Parameters
         ----------
         listening_socket : curio.io.Socket
-            A listening socket; it is closed at the end.
+            Listening socket; closed before the method returns.
 
         Raises
         ------
         InvariantError
-            If a request met a broken invariant.
+            If a request raised this error.
         """
         self._listening_socket = listening_socket
-        watchdog = await curio.spawn(self._keep_up, self._watch_limits, daemon=True)
+        watchdog = await curio.spawn(
+            self._run_with_restarts, self._watch_limits, daemon=True
+        )
         self._accepting = await curio.spawn(
-            self._keep_up, self._accept_forever, daemon=True
+            self._run_with_restarts, self._accept_forever, daemon=True
         )
         try:
             await self._stopped.wait()
@@ -119,52 +121,54 @@
             await listening_socket.close()
             await self._end_connections()
             await watchdog.cancel()
-        if self._broken is not None:
-            raise self._broken
+        if self._invariant_error is not None:
+            raise self._invariant_error
 
     async def drain(self, deadline):
-        """Stop without cutting off a request.
+        """Stop without interrupting requests.
 
-        Readiness fails at once; connections are taken as before until the balancer has
-        had time to notice.  From then on each response ends its connection, and idle
-        connections are closed after a grace.
+        Readiness fails at once.  Connections are accepted for ``balancer_notice_s``,
+        until the balancer has noticed.  After that each connection is closed after its
+        next response, and idle connections are closed after a grace period.
 
         Parameters
         ----------
         deadline : siskinthread.timing.Deadline
-            When to give up on what still runs.
+            When to stop waiting for running requests.
 
         Returns
         -------
         bool
-            Whether every request was finished.
+            Whether all requests were finished.
         """
         context = self._context
         context.draining = True
-        logger.info("readiness fails from now on")
+        logger.info("drain started, readiness fails")
         notice_s = min(self._settings.balancer_notice_s, deadline.left_s())
         await self._sleep_until(Deadline.after(self._clock, notice_s))
         context.closing = True
         await self._stop_accepting()
         self._shorten_idle_waits()
         finished = await self._wait_until_empty(deadline)
-        logger.info("drained, %d connections cut off", len(self._connections))
+        logger.info(
+            "drain ended, %d connections still open are closed", len(self._connections)
+        )
         await self._stopped.set()
         return finished
 
-    async def _keep_up(self, duty):
-        """Run an endless duty again after an unforeseen error.
+    async def _run_with_restarts(self, task_function):
+        """Run an endless task function and restart it after unexpected errors.
 
-        Symptom without this: an entry host that looks alive and serves nobody, or lets
-        slow callers fill it.  One error had ended the only task that accepts, or the
-        only one that watches the limits.
+        If an error ended the only task that accepts connections, or the only one that
+        enforces limits, the host would appear alive but serve no callers, or would be
+        filled by slow callers.
         """
         while True:
             try:
-                await duty()
+                await task_function()
             except Exception:
-                logger.exception("an endless duty failed and is started again")
-                await curio.sleep(DUTY_PAUSE_S)
+                logger.exception("background task failed and is restarted")
+                await curio.sleep(RESTART_PAUSE_S)
 
     async def _accept_forever(self):
         while True:
@@ -173,17 +177,17 @@
             except OSError as error:
                 if error.errno == errno.ECONNABORTED:
                     continue
-                # Out of descriptors or memory: accepting again at once would spin.
+                # Out of descriptors or memory: retrying at once would be a busy loop.
                 if self.has_room:
                     logger.warning("accept failed: %s", error)
-                self._full_until = Deadline.after(self._clock, FULL_MEMORY_S)
+                self._accept_failed_until = Deadline.after(self._clock, ACCEPT_FAILED_S)
                 await curio.sleep(ACCEPT_PAUSE_S)
                 continue
-            await self._take(socket)
+            await self._start_session(socket)
 
-    async def _take(self, socket):
+    async def _start_session(self, socket):
         surplus = len(self._connections) - self._settings.connections_limit
-        if surplus >= SURPLUS_LIMIT:
+        if surplus >= REFUSED_CONNECTIONS_LIMIT:
             await socket.close()
             return
         connection = CallerConnection(socket, self._settings, self._clock)
@@ -196,12 +200,12 @@
         try:
             await session.run()
         except InvariantError as error:
-            self._broken = error
+            self._invariant_error = error
             await self._stopped.set()
         except Exception:
-            # One request's fault must not end the others; the caller sees its
-            # connection end without a whole answer.
-            logger.exception("a connection ended by a fault")
+            # An error in one request must not end the others; its caller sees the
+            # connection end without a complete answer.
+            logger.exception("unexpected error while serving a connection")
         finally:
             del self._connections[connection]
             self._open_count.set(len(self._connections))
@@ -209,20 +213,20 @@
                 await self._emptied.set()
 
     async def _watch_limits(self):
-        """End connections whose phase has taken too long.
+        """End connections whose phase has exceeded its time limit.
 
-        One task for all of them: a timeout around each write would cost more than the
-        write's own framing.
+        One task checks all connections, because a timeout around each write would cost
+        more than the framing of the write.
 
-        After a pause of the whole process the callers' bytes wait in the kernel, and
-        every limit seems to have passed.  Without a round for reading them, callers
-        that were quick would be cut off.
+        After a pause of the whole process every limit appears to have passed although
+        the callers' bytes wait in the kernel.  The round after a pause is skipped so
+        that the bytes are read first and callers in time are not disconnected.
         """
         checked_at_s = self._clock.monotonic_s()
         while True:
             await curio.sleep(self._settings.watch_interval_s)
             now_s = self._clock.monotonic_s()
-            was_paused = now_s - checked_at_s > PAUSE_S
+            was_paused = now_s - checked_at_s > PROCESS_PAUSE_S
             checked_at_s = now_s
             if was_paused:
                 continue
@@ -231,28 +235,28 @@
                 if caller.expires_at_s is not None and caller.expires_at_s <= now_s:
                     await caller.expire()
             if self._held_limit_bytes:
-                await self._bound_held_bytes()
+                await self._limit_held_bytes()
 
-    async def _bound_held_bytes(self):
-        """End the slowest readers while too much is held for them.
+    async def _limit_held_bytes(self):
+        """End the slowest readers while their buffers exceed the limit.
 
-        Between two rounds no more is added than arrives from targets meanwhile: 1.3 MB
-        in 0.1 s over a link of 100 Mbit/s.
+        Between two rounds the buffers grow at most by the bytes that targets send:
+        1.3 MB in 0.1 s over a link of 100 Mbit/s.
         """
-        callers = [one.caller for one in self._connections]
-        waiting = [one for one in callers if one.held_bytes()]
-        held_bytes = sum(one.held_bytes() for one in waiting)
+        callers = [connection.caller for connection in self._connections]
+        waiting = [caller for caller in callers if caller.held_bytes()]
+        held_bytes = sum(caller.held_bytes() for caller in waiting)
         if held_bytes <= self._held_limit_bytes:
             return
         ended_count = 0
-        for caller in sorted(waiting, key=lambda one: one.waits_since_s):
+        for caller in sorted(waiting, key=lambda reader: reader.write_started_at_s):
             if held_bytes <= self._held_limit_bytes:
                 break
             held_bytes -= caller.held_bytes()
             ended_count += 1
             await caller.end_for_memory()
         logger.warning(
-            "%d slow readers were ended, %d bytes are held for %d others",
+            "ended %d slow readers, %d bytes remain buffered for %d others",
             ended_count,
             held_bytes,
             len(waiting) - ended_count,
@@ -263,19 +267,19 @@
             await curio.sleep(min(self._settings.watch_interval_s, deadline.left_s()))
 
     async def _stop_accepting(self):
-        """Take what waits in the kernel's queue, then refuse connections.
+        """Accept the connections in the kernel's queue, then close the socket.
 
-        Closing a listening socket resets the connections that wait in its queue, and
-        with them requests that their callers have already sent.
+        Closing a listening socket resets the connections in its accept queue, including
+        requests that their callers have already sent.
         """
         await self._accepting.cancel()
         while True:
             accepted = await curio.ignore_after(
-                QUEUE_EMPTY_S, self._listening_socket.accept
+                QUEUE_EMPTY_TIMEOUT_S, self._listening_socket.accept
             )
             if accepted is None:
                 break
-            await self._take(accepted[0])
+            await self._start_session(accepted[0])
         await self._listening_socket.close()
 
     def _shorten_idle_waits(self):
@@ -288,7 +292,7 @@
     async def _end_connections(self):
         for task in list(self._connections.values()):
             await task.cancel(blocking=False)
-        # Their answers are cancelled meanwhile; a hanging one must not hold the stop.
+        # Each task cancels its answer; one that hangs must not delay the stop.
         deadline = Deadline.after(SYSTEM_CLOCK, self._settings.linger_limit_s)
         await self._wait_until_empty(deadline)
 
--- a/siskinthread/http_server/_session.py
+++ b/siskinthread/http_server/_session.py
@@ -1,4 +1,4 @@
-"""The requests of one connection, one after the other."""
+"""Serve the requests of a connection in sequence."""
 
 import abc
 
@@ -16,12 +16,13 @@
     connection : CallerConnection
         The connection.
     context : object
-        What all connections share; has ``settings``, ``closing`` and ``ended_count``.
+        Context shared by all connections, with ``settings``, ``closing`` and
+        ``ended_count``.
 
     Attributes
     ----------
     head : RequestHead or None
-        Head of the request that is served.
+        Head of the current request.
     """
 
     __slots__ = ("connection", "context", "head")
@@ -33,46 +34,46 @@
 
     @abc.abstractmethod
     async def answer(self, head):
-        """Answer one request; return whether the connection may go on."""
+        """Answer one request; return whether the connection stays usable."""
 
     @abc.abstractmethod
     async def refuse(self, refusal, in_transfer=False):
-        """Write a `Refusal`; return whether the connection may go on.
+        """Write a `Refusal`; return whether the connection stays usable.
 
         Parameters
         ----------
         refusal : Refusal
-            What the caller is told.
+            Refusal to report to the caller.
         in_transfer : bool
-            Whether the body of the request has not been read to its end.
+            Whether the request was refused while its body was read.
         """
 
     def idle_limit_s(self):
-        """Return the longest wait for the next request, seconds."""
+        """Return the maximum time to wait for the next request, seconds."""
         settings = self.context.settings
         if self.context.closing:
             return min(settings.idle_grace_s, settings.idle_limit_s)
         return settings.idle_limit_s
 
     async def run(self):
-        """Serve every request and close the connection."""
+        """Serve all requests and close the connection."""
         caller = self.connection.caller
         try:
             await caller.open()
             await self._serve()
-            if not self.connection.looks_whole_if_closed():
+            if not self.connection.appears_complete_if_closed():
                 await caller.linger()
         except ConnectionLostError:
             pass
         except curio.CancelledError:
             if caller.ending is None:
-                # The server stops.
+                # The server is stopping.
                 raise
         finally:
             if caller.ending is not None:
                 self.context.ended_count.labels(caller.ending.value).inc()
             async with curio.disable_cancellation():
-                if self.connection.looks_whole_if_closed():
+                if self.connection.appears_complete_if_closed():
                     await caller.abort()
                 else:
                     await caller.close()
