--- a/siskinthread/outcomes/_events.py
+++ b/siskinthread/outcomes/_events.py
@@ -1,6 +1,6 @@
-"""Events of one response, in order: `Head`, any number of `Part`, one `End`.
+"""Events of a response, in order: `Head`, any number of `Part`, one `End`.
 
-A response that was refused or is unknown may consist of `End` alone.
+For a request that was refused, failed or is unknown, `End` may be the only event.
 """
 
 
@@ -23,14 +23,14 @@
 
 
 class Part:
-    """The next bytes of the body; parts come gapless and in order.
+    """The next bytes of the body; parts are contiguous and in order.
 
     Parameters
     ----------
     offset_bytes : int
-        Place of the first byte in the body.
+        Offset of the first byte in the body.
     data : bytes
-        The bytes.
+        Bytes of the body.
     """
 
     __slots__ = ("data", "offset_bytes")
@@ -41,20 +41,20 @@
 
 
 class End:
-    """The last event.
+    """The last event of a response.
 
     Parameters
     ----------
     outcome : Outcome
-        What became of the request.
+        Outcome of the request.
     reason : Reason
-        Why.
+        Machine-readable reason of the outcome.
     message : str
-        One sentence for people.
+        Human-readable explanation.
     length_bytes : int
-        Length of the whole body; meaningful for ``ANSWERED``.
+        Length of the complete body; meaningful only for ``ANSWERED``.
     retry_after_s : float or None
-        When to come back, where that helps.
+        Seconds after which a retry may help, None if unknown or not useful.
     """
 
     __slots__ = ("length_bytes", "message", "outcome", "reason", "retry_after_s")
--- a/siskinthread/outcomes/_outcome.py
+++ b/siskinthread/outcomes/_outcome.py
@@ -1,15 +1,15 @@
-"""The four outcomes and the reasons given with them."""
+"""The outcomes of requests and their reasons."""
 
 import enum
 
 
 class Outcome(enum.IntEnum):
-    """What became of a request; the numbers are those of the wire.
+    """Outcome of a request; the values are those on the wire.
 
     Notes
     -----
-    ``REFUSED_NOT_RUN`` may be said only if no target ever got the request, or the one
-    that got it has recorded that it did not and will not run it.
+    ``REFUSED_NOT_RUN`` may be reported only if no target received the request, or the
+    target that received it has recorded that it did not and will not run it.
     """
 
     ANSWERED = 1
@@ -19,7 +19,7 @@
 
     @property
     def label(self):
-        """The word shown to callers, for example ``refused_not_run``."""
+        """Name reported to callers, for example ``refused_not_run``."""
         return _LABELS[self]
 
 
@@ -32,11 +32,11 @@
 
 
 class Reason(enum.StrEnum):
-    """Machine-readable reason of an outcome; the same word on the wire and to callers.
+    """Machine-readable reason of an outcome, as on the wire and in responses.
 
     Notes
     -----
-    Add a member here before using a new word.
+    A new reason needs a member here before it is used.
     """
 
     COMPLETE = "complete"
