--- a/siskinthread/timing/__init__.py
+++ b/siskinthread/timing/__init__.py
@@ -1,7 +1,7 @@
 """Deadlines and clocks.
 
-Only deadlines are stored.  Durations appear in settings and on the wire and become a
-monotonic deadline at once.
+Only deadlines are stored.  Durations from settings and from the wire are converted to
+monotonic deadlines on receipt.
 """
 
 from siskinthread.timing._clock import Clock, ManualClock, SYSTEM_CLOCK
--- a/siskinthread/timing/_clock.py
+++ b/siskinthread/timing/_clock.py
@@ -1,31 +1,31 @@
-"""Clocks: the system's, and one that tests set by hand."""
+"""The system clock, and a clock that tests set manually."""
 
 import time
 
 
 class Clock:
-    """The system's clocks."""
+    """The monotonic and wall clocks of the system."""
 
     __slots__ = ()
 
     def monotonic_s(self):
-        """Return the monotonic clock, seconds; it never goes back."""
+        """Return the monotonic time, seconds; it never decreases."""
         return time.monotonic()
 
     def unix_ms(self):
-        """Return the wall clock, Unix milliseconds; hosts disagree about it."""
+        """Return the wall-clock time, Unix milliseconds; it differs between hosts."""
         return time.time_ns() // 1_000_000
 
 
 class ManualClock(Clock):
-    """A clock for tests that moves only when told to.
+    """A clock for tests that advances only by `advance`.
 
     Parameters
     ----------
     monotonic_s : float
-        First value of the monotonic clock, seconds.
+        Initial value of the monotonic clock, seconds.
     unix_ms : int
-        First value of the wall clock, Unix milliseconds.
+        Initial value of the wall clock, Unix milliseconds.
     """
 
     __slots__ = ("_monotonic_s", "_unix_ms")
@@ -35,15 +35,15 @@
         self._unix_ms = unix_ms
 
     def monotonic_s(self):
-        """Return the monotonic clock, seconds."""
+        """Return the monotonic time, seconds."""
         return self._monotonic_s
 
     def unix_ms(self):
-        """Return the wall clock, Unix milliseconds."""
+        """Return the wall-clock time, Unix milliseconds."""
         return self._unix_ms
 
     def advance(self, step_s):
-        """Move both clocks on by `step_s` seconds."""
+        """Advance both clocks by `step_s` seconds."""
         self._monotonic_s += step_s
         self._unix_ms += round(step_s * 1000)
 
--- a/siskinthread/timing/_deadline.py
+++ b/siskinthread/timing/_deadline.py
@@ -1,17 +1,17 @@
-"""A point on the monotonic clock."""
+"""Deadlines on the monotonic clock."""
 
 MILLISECONDS_PER_SECOND = 1000
 
 
 class Deadline:
-    """A point on the monotonic clock by which something must have happened.
+    """A time on the monotonic clock at which a wait ends.
 
     Parameters
     ----------
     clock : Clock
-        The clock that the deadline is read against.
+        Clock with which the deadline is compared.
     at_s : float
-        The point, monotonic seconds.
+        Time of the deadline, monotonic seconds.
     """
 
     __slots__ = ("_clock", "at_s")
@@ -27,19 +27,19 @@
 
     @classmethod
     def after_ms(cls, clock, time_left_ms):
-        """Return the deadline for a `time_left_ms` that was read off the wire."""
+        """Return the deadline for a `time_left_ms` received on the wire."""
         return cls.after(clock, time_left_ms / MILLISECONDS_PER_SECOND)
 
     def left_s(self):
-        """Return the seconds left, never below zero."""
+        """Return the seconds left, at least zero."""
         return max(0.0, self.at_s - self._clock.monotonic_s())
 
     def left_ms(self):
-        """Return the whole milliseconds left, as written on the wire."""
+        """Return the milliseconds left, rounded down, as sent on the wire."""
         return int(self.left_s() * MILLISECONDS_PER_SECOND)
 
     def passed(self):
-        """Return whether the point lies in the past."""
+        """Return whether the deadline has been reached."""
         return self._clock.monotonic_s() >= self.at_s
 
     def __repr__(self):
--- a/siskinthread/timing/tests/test_deadline.py
+++ b/siskinthread/timing/tests/test_deadline.py
@@ -4,7 +4,7 @@
 
 
 def test_deadline_passes_with_the_clock():
-    """A deadline passes exactly when its clock reaches it."""
+    """A deadline passes when its clock reaches it, not before."""
     clock = ManualClock()
     deadline = Deadline.after(clock, 2.0)
     clock.advance(1.5)
