--- a/siskinthread/errors/__init__.py
+++ b/siskinthread/errors/__init__.py
@@ -1,7 +1,7 @@
-"""The one tree of exceptions and warnings.
+"""The hierarchy of exceptions and warnings.
 
-Outcomes of requests are values (`siskinthread.execution`); exceptions are for errors
-that stop the operation at hand.
+Outcomes of requests are values (`siskinthread.outcomes`); exceptions are for errors
+that abort the current operation.
 """
 
 from siskinthread.errors._errors import (
--- a/siskinthread/errors/_errors.py
+++ b/siskinthread/errors/_errors.py
@@ -1,21 +1,21 @@
-"""Definitions of the exception and warning classes."""
+"""Exception and warning classes."""
 
 
 class SiskinthreadError(Exception):
-    """Base of every error that this library raises."""
+    """Base class of all errors that this library raises."""
 
 
 class InvariantError(SiskinthreadError):
-    """A broken invariant; the only error that may stop a process."""
+    """A violated invariant; the only error that may stop a process."""
 
 
 class DocumentError(SiskinthreadError):
-    """A JSON document can't be read or does not have the expected form.
+    """A JSON document is unreadable or does not have the expected structure.
 
     Parameters
     ----------
     problems : list of siskinthread.documents.Problem
-        Every problem found, in the order of the document.
+        All problems found, in document order.
     """
 
     def __init__(self, problems):
@@ -24,38 +24,38 @@
 
 
 class SettingsError(DocumentError):
-    """A settings file has unknown, repeated, missing or ill-typed items."""
+    """A settings file has unknown, repeated, missing or mistyped items."""
 
 
 class ProtocolError(SiskinthreadError):
-    """The peer sent bytes that the protocol does not allow."""
+    """The peer violated the protocol."""
 
 
 class HandshakeError(ProtocolError):
-    """The peer did not prove that it holds a shared key."""
+    """The peer failed to prove possession of a shared key."""
 
 
 class ConnectionLostError(SiskinthreadError):
-    """A connection ended, failed or stayed silent past its deadline."""
+    """A connection ended, failed or received no data before its deadline."""
 
 
 class CallerLeftError(SiskinthreadError):
-    """The connection of a caller ended while its answer was written."""
+    """A caller's connection ended while its answer was being written."""
 
 
 class PlatformUnavailableError(SiskinthreadError):
-    """The platform's log, host list or weight store gave no answer in time."""
+    """The platform's log, host list or weight store did not answer in time."""
 
 
 class PlatformRefusedError(PlatformUnavailableError):
-    """A service of the platform answered, but not with what was asked for.
+    """A service of the platform refused a request or answered unexpectedly.
 
     Parameters
     ----------
     message : str
-        For people.
+        Human-readable description.
     status : int
-        HTTP status of the answer.
+        HTTP status of the response.
     """
 
     def __init__(self, message, status):
@@ -64,28 +64,28 @@
 
 
 class PositionExpiredError(SiskinthreadError):
-    """The records behind a position have been dropped; all must be read anew."""
+    """The records after a position were dropped; all records must be read again."""
 
 
 class SourceRestoredError(PositionExpiredError):
-    """The source has come back older than it was, so that a position means nothing."""
+    """The source was restored to an older state, so positions in it are invalid."""
 
 
 class RecordsUnreadError(SiskinthreadError):
-    """The source has records that the writer hasn't read, and took nothing."""
+    """An append was rejected: the source has records that the writer has not read."""
 
 
 class TargetError(SiskinthreadError):
-    """A target closed its connection or answered something unreadable."""
+    """A target closed its connection or sent an unreadable response."""
 
 
 class TargetSilentError(TargetError):
-    """A target sent nothing for as long as its caller could wait."""
+    """A target sent nothing until the deadline of the call."""
 
 
 class MeasurementError(SiskinthreadError):
-    """A measurement could not be carried out."""
+    """A measurement could not be completed."""
 
 
 class SiskinthreadWarning(UserWarning):
-    """Base of every warning that this library issues."""
+    """Base class of all warnings that this library issues."""
