--- a/siskinthread/callers/_relay.py
+++ b/siskinthread/callers/_relay.py
@@ -201,7 +201,7 @@
         if self._remaining_bytes is not None:
             self._remaining_bytes -= len(data)
             if self._remaining_bytes == 0:
-                # A caller that has received the announced length takes the answer as
+                # A caller that has received the announced length treats the answer as
                 # complete, even if the outcome that follows is a failure.
                 self._held_data = data
                 return
@@ -210,7 +210,7 @@
     async def _end_incomplete(self, is_event_stream):
         """Leave the response detectably incomplete.
 
-        A caller takes the final chunk or the announced length as the end of a complete
+        A caller treats the final chunk or the announced length as the end of a complete
         answer, so neither is sent.
         """
         self.broken = True
--- a/siskinthread/callers/tests/fakes.py
+++ b/siskinthread/callers/tests/fakes.py
@@ -213,7 +213,7 @@
     )
 
 
-def whole(body=b"ok", content_type="text/plain", status=200):
+def complete_answer(body=b"ok", content_type="text/plain", status=200):
     """Return the events of a complete answer."""
     return [
         Head(status, [("content-type", content_type)]),
@@ -237,7 +237,7 @@
     return ()
 
 
-async def until(condition):
+async def wait_until(condition):
     """Let other tasks run until a condition holds."""
     while not condition():
         await curio.sleep(0.0005)
--- a/siskinthread/callers/tests/test_drain.py
+++ b/siskinthread/callers/tests/test_drain.py
@@ -6,6 +6,7 @@
 
 from siskinthread.callers.tests.fakes import (
     answered,
+    complete_answer,
     event_stream_head,
     READ_SIZE_BYTES,
     read_to_end,
@@ -13,8 +14,7 @@
     request_bytes,
     run_bench,
     STREAM,
-    until,
-    whole,
+    wait_until,
 )
 from siskinthread.outcomes import Part
 from siskinthread.timing import Deadline
@@ -34,7 +34,7 @@
         empty = await bench.exchange(READY)
         deadline = Deadline.after(bench.clock, 60.0)
         drain = await curio.spawn(bench.server.drain, deadline)
-        await until(lambda: bench.server._context.draining)
+        await wait_until(lambda: bench.server._context.draining)
         draining = await bench.exchange(READY)
         bench.clock.advance(5.0)
         await drain.join()
@@ -66,7 +66,7 @@
         await late.sendall(STREAM)
         drain = await curio.spawn(bench.server.drain, Deadline.after(bench.clock, 60.0))
         queued = await bench.dispatcher.begun.get()
-        await until(lambda: bench.server._context.closing)
+        await wait_until(lambda: bench.server._context.closing)
         await queued.events.put(event_stream_head())
         await queued.events.put(answered())
         sessions = [await read_to_end(late)]
@@ -75,7 +75,7 @@
         await running.events.put(answered())
         sessions.append(await read_until(client, b"0\r\n\r\n"))
         # The head allowed another request, so it stays open for the grace period.
-        await until(lambda: len(bench.server._connections) == 1)
+        await wait_until(lambda: len(bench.server._connections) == 1)
         bench.clock.advance(2.0)
         assert await read_to_end(client) == b""
         await client.close()
@@ -97,14 +97,16 @@
     """
 
     async def test(bench):
-        await until(lambda: bench.server._accepting)
+        await wait_until(lambda: bench.server._accepting)
         # A blocking socket, so that the server does not run before the drain.
         with standard_socket.create_connection(bench.address) as client:
             client.sendall(request_bytes("GET", "/services/varsel/a"))
             await bench.server.drain(Deadline.after(bench.clock, 60.0))
             return client.recv(READ_SIZE_BYTES)
 
-    received = run_bench(test, lambda request: whole(b"served"), linger_limit_s=0.0)
+    received = run_bench(
+        test, lambda request: complete_answer(b"served"), linger_limit_s=0.0
+    )
     assert received.endswith(b"\r\n\r\nserved")
 
 
@@ -113,10 +115,10 @@
 
     async def test(bench):
         client = await bench.connect()
-        await until(lambda: bench.server._connections)
+        await wait_until(lambda: bench.server._connections)
         deadline = Deadline.after(bench.clock, 60.0)
         drain = await curio.spawn(bench.server.drain, deadline)
-        await until(lambda: bench.server._context.closing)
+        await wait_until(lambda: bench.server._context.closing)
         await client.sendall(request_bytes("GET", "/healthz", close=False))
         answer = await read_to_end(client)
         await client.close()
@@ -137,7 +139,7 @@
         answer = await bench.dispatcher.begun.get()
         deadline = Deadline.after(bench.clock, 60.0)
         drain = await curio.spawn(bench.server.drain, deadline)
-        await until(lambda: bench.server._context.closing)
+        await wait_until(lambda: bench.server._context.closing)
         bench.clock.advance(61.0)
         finished = await drain.join()
         await answer.cancelled.wait()
--- a/siskinthread/callers/tests/test_leaving.py
+++ b/siskinthread/callers/tests/test_leaving.py
@@ -8,6 +8,7 @@
 from curio import socket
 
 from siskinthread.callers.tests.fakes import (
+    complete_answer,
     event_stream_head,
     GET,
     in_phase,
@@ -19,8 +20,7 @@
     run_bench,
     STREAM,
     TOKEN,
-    until,
-    whole,
+    wait_until,
 )
 from siskinthread.http_server import Phase
 
@@ -37,7 +37,7 @@
     async def test(bench):
         client = await bench.connect()
         await client.sendall(sent[:-1])
-        await until(in_phase(bench, Phase.BODY))
+        await wait_until(in_phase(bench, Phase.BODY))
         bench.clock.advance(31.0)
         return await read_to_end(client)
 
@@ -66,7 +66,7 @@
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, no_wait)
         await client.close()
         await answer.cancelled.wait()
-        await until(lambda: not bench.server._connections)
+        await wait_until(lambda: not bench.server._connections)
         return answer.cancel_count, bench.admission.finished
 
     cancel_count, finished = run_bench(test, lambda request: events)
@@ -82,13 +82,13 @@
     """
 
     async def test(bench):
-        await until(lambda: bench.server._accepting)
+        await wait_until(lambda: bench.server._accepting)
         # A blocking socket, so that the server does not run between the two calls.
         with standard_socket.create_connection(bench.address) as client:
             client.sendall(STREAM)
         # This connection is accepted after the first.
         await bench.exchange(request_bytes("GET", "/healthz"))
-        await until(lambda: not bench.server._connections)
+        await wait_until(lambda: not bench.server._connections)
         return bench.dispatcher.requests
 
     assert run_bench(test) == []
@@ -108,7 +108,7 @@
         await bench.dispatcher.started.wait()
         await client.close()
         try:
-            await until(lambda: only_connection(bench).caller.ending)
+            await wait_until(lambda: only_connection(bench).caller.ending)
         finally:
             await bench.dispatcher.gate.set()
         answer = await bench.dispatcher.begun.get()
@@ -126,11 +126,11 @@
         first = await bench.dispatcher.begun.get()
         await client.sendall(LAST_GET)
         connection = only_connection(bench)
-        await until(lambda: connection.caller._incoming_bytes)
-        for event in whole(b"first"):
+        await wait_until(lambda: connection.caller._incoming_bytes)
+        for event in complete_answer(b"first"):
             await first.events.put(event)
         second = await bench.dispatcher.begun.get()
-        for event in whole(b"second"):
+        for event in complete_answer(b"second"):
             await second.events.put(event)
         return await read_to_end(client)
 
@@ -153,7 +153,9 @@
         )
         return asked, answer, refused
 
-    asked, answer, refused = run_bench(test, lambda request: whole(request.body))
+    asked, answer, refused = run_bench(
+        test, lambda request: complete_answer(request.body)
+    )
     assert asked.startswith(b"HTTP/1.1 100 ")
     assert answer.endswith(b"\r\n\r\nabc")
     assert refused.startswith(b"HTTP/1.1 404 ")
--- a/siskinthread/callers/tests/test_limits.py
+++ b/siskinthread/callers/tests/test_limits.py
@@ -12,6 +12,7 @@
 from siskinthread.callers import CallerSettings
 from siskinthread.callers.tests.fakes import (
     answered,
+    complete_answer,
     event_stream_head,
     GET,
     HOURS_S,
@@ -22,8 +23,7 @@
     request_bytes,
     run_bench,
     STREAM,
-    until,
-    whole,
+    wait_until,
 )
 from siskinthread.http_server import CallerSocket, Phase
 from siskinthread.outcomes import Part
@@ -43,7 +43,7 @@
     async def test(bench):
         client = await bench.connect()
         await client.sendall(sent)
-        await until(in_phase(bench, phase))
+        await wait_until(in_phase(bench, phase))
         bench.clock.advance(31.0)
         return await read_to_end(client), bench.dispatcher.requests
 
@@ -62,10 +62,10 @@
     parts = [Part(0, b"x" * 100_000)] * 30
 
     async def test(bench):
-        await until(lambda: bench.server._accepting)
+        await wait_until(lambda: bench.server._accepting)
         client = standard_socket.create_connection(bench.address)
         client.sendall(STREAM)
-        await until(in_phase(bench, Phase.WRITE))
+        await wait_until(in_phase(bench, Phase.WRITE))
         client.setblocking(False)
         received_bytes = 0
         with contextlib.suppress(BlockingIOError):
@@ -107,7 +107,7 @@
         await caller.open()
         caller.enter(Phase.HEAD, 1.0)
         await theirs.sendall(b"last bytes")
-        await until(lambda: caller._incoming_bytes)
+        await wait_until(lambda: caller._incoming_bytes)
         await caller.expire()
         received = [await caller.receive(), await caller.receive()]
         await caller.close()
@@ -127,11 +127,11 @@
     async def test(bench):
         client = await bench.connect()
         await client.sendall(LAST_GET[:20])
-        await until(in_phase(bench, Phase.HEAD))
+        await wait_until(in_phase(bench, Phase.HEAD))
         bench.clock.advance(31.0)
-        await until(in_phase(bench, Phase.LINGER))
+        await wait_until(in_phase(bench, Phase.LINGER))
         bench.clock.advance(3.0)
-        await until(lambda: not bench.server._connections)
+        await wait_until(lambda: not bench.server._connections)
         await client.close()
 
     run_bench(test, idle_limit_s=HOURS_S)
@@ -142,7 +142,7 @@
 
     async def test(bench):
         client = await bench.connect()
-        await until(in_phase(bench, Phase.IDLE))
+        await wait_until(in_phase(bench, Phase.IDLE))
         bench.clock.advance(76.0)
         return await read_to_end(client)
 
@@ -169,9 +169,9 @@
 
     async def test(bench):
         client = await bench.connect()
-        await until(in_phase(bench, Phase.IDLE))
+        await wait_until(in_phase(bench, Phase.IDLE))
         faulty = FaultyConnection(bench.server._connections)
-        await until(lambda: faulty not in bench.server._connections)
+        await wait_until(lambda: faulty not in bench.server._connections)
         bench.clock.advance(76.0)
         return await read_to_end(client)
 
@@ -194,7 +194,7 @@
         client = await bench.connect(receive_buffer_bytes=4096)
         await client.sendall(STREAM)
         answer = await bench.dispatcher.begun.get()
-        await until(in_phase(bench, Phase.WRITE))
+        await wait_until(in_phase(bench, Phase.WRITE))
         bench.clock.advance(21.0)
         await answer.cancelled.wait()
         received = await read_to_end(client)
@@ -240,7 +240,7 @@
 
     async def test(bench):
         first = await bench.connect()
-        await until(lambda: bench.server._connections)
+        await wait_until(lambda: bench.server._connections)
         refused = await bench.exchange(GET)
         health = await bench.exchange(request_bytes("GET", "/healthz", close=False))
         await first.close()
@@ -262,7 +262,7 @@
         await first.sendall(post)
         answer = await bench.dispatcher.begun.get()
         refused = await bench.exchange(post)
-        for event in whole():
+        for event in complete_answer():
             await answer.events.put(event)
         answered_first = await read_to_end(first)
         return refused, answered_first, bench.server._context.bodies.held_bytes
--- a/siskinthread/callers/tests/test_malformed.py
+++ b/siskinthread/callers/tests/test_malformed.py
@@ -3,7 +3,12 @@
 import curio
 from hypothesis import given, settings, strategies
 
-from siskinthread.callers.tests.fakes import Bench, chat_body, request_bytes, whole
+from siskinthread.callers.tests.fakes import (
+    Bench,
+    chat_body,
+    complete_answer,
+    request_bytes,
+)
 
 HEALTH = request_bytes("GET", "/healthz")
 VALID = [
@@ -31,7 +36,7 @@
     """After any input the connection ends and the server serves the next connection."""
 
     async def run():
-        async with Bench(lambda request: whole()).running() as bench:
+        async with Bench(lambda request: complete_answer()).running() as bench:
             client = await bench.connect()
             await client.sendall(data)
             await client.shutdown(curio.socket.SHUT_WR)
--- a/siskinthread/callers/tests/test_requests.py
+++ b/siskinthread/callers/tests/test_requests.py
@@ -8,9 +8,9 @@
 from siskinthread.callers.tests.fakes import (
     Bench,
     chat_body,
+    complete_answer,
     NOW_MS,
     request_bytes,
-    whole,
 )
 from siskinthread.http_server import Refusal
 from siskinthread.outcomes import End, Outcome, Reason
@@ -23,7 +23,7 @@
     """Return the response and the requests that the dispatcher received."""
 
     async def run():
-        async with Bench(lambda request: whole()).running() as bench:
+        async with Bench(lambda request: complete_answer()).running() as bench:
             if change is not None:
                 change(bench)
             received = await bench.exchange(data)
--- a/siskinthread/callers/tests/test_sessions.py
+++ b/siskinthread/callers/tests/test_sessions.py
@@ -9,9 +9,9 @@
     answered,
     Bench,
     chat_body,
+    complete_answer,
     event_stream_head,
     request_bytes,
-    whole,
 )
 from siskinthread.outcomes import End, Head, Outcome, Part, Reason
 
@@ -38,7 +38,9 @@
     ),
     "whole": (
         request_bytes("POST", "/v1/chat/completions", chat_body(stream=False)),
-        chat(*whole(b'{"usage": {"completion_tokens": 7}}', "application/json")),
+        chat(
+            *complete_answer(b'{"usage": {"completion_tokens": 7}}', "application/json")
+        ),
     ),
     "whole_broken": (
         request_bytes("GET", "/services/varsel/alerts/4"),
@@ -60,12 +62,12 @@
         + request_bytes("HEAD", "/services/varsel/", close=False)
         + request_bytes("GET", "/healthz", key=None, close=False)
         + request_bytes("GET", "/v1/models"),
-        lambda request: whole(f"{request.method} {request.path}".encode()),
+        lambda request: complete_answer(f"{request.method} {request.path}".encode()),
     ),
     "chunked_body": (
         request_bytes("POST", "/services/varsel/a", Transfer_Encoding="chunked")
         + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
-        lambda request: whole(b"got " + request.body),
+        lambda request: complete_answer(b"got " + request.body),
     ),
     "errors": (
         request_bytes("GET", "/nothing", close=False)
