--- a/siskinthread/callers/tests/test_drain.py
+++ b/siskinthread/callers/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Readiness, and a stop that cuts off nothing."""
+"""Readiness, and a drain that interrupts no request."""
 
 import socket as standard_socket
 
@@ -6,6 +6,7 @@
 
 from siskinthread.callers.tests.fakes import (
     answered,
+    complete_answer,
     event_stream_head,
     READ_SIZE_BYTES,
     read_to_end,
@@ -13,8 +14,7 @@
     request_bytes,
     run_bench,
     STREAM,
-    until,
-    whole,
+    wait_until,
 )
 from siskinthread.outcomes import Part
 from siskinthread.timing import Deadline
@@ -24,7 +24,7 @@
 
 
 def test_readiness_states_the_reason():
-    """It says 503, and why, during a drain or without configuration or a target."""
+    """``/readyz`` returns 503 and the reason: drain, no configuration or no target."""
 
     async def test(bench):
         ready = await bench.exchange(READY)
@@ -34,7 +34,7 @@
         empty = await bench.exchange(READY)
         deadline = Deadline.after(bench.clock, 60.0)
         drain = await curio.spawn(bench.server.drain, deadline)
-        await until(lambda: bench.server._context.draining)
+        await wait_until(lambda: bench.server._context.draining)
         draining = await bench.exchange(READY)
         bench.clock.advance(5.0)
         await drain.join()
@@ -49,10 +49,10 @@
 
 
 def test_drain_finishes_streams_and_then_closes():
-    """Symptom: a planned restart cuts answers off.
+    """A drain finishes running streams and queued requests.
 
-    A stream runs, and another request has reached the kernel's queue, when the process
-    is told to stop.  Cause: it ended before both were served.
+    Guards against a planned restart that cuts off a running stream, or a request that
+    is still in the kernel's accept queue when the drain begins.
     """
 
     async def test(bench):
@@ -66,7 +66,7 @@
         await late.sendall(STREAM)
         drain = await curio.spawn(bench.server.drain, Deadline.after(bench.clock, 60.0))
         queued = await bench.dispatcher.begun.get()
-        await until(lambda: bench.server._context.closing)
+        await wait_until(lambda: bench.server._context.closing)
         await queued.events.put(event_stream_head())
         await queued.events.put(answered())
         sessions = [await read_to_end(late)]
@@ -74,8 +74,8 @@
         assert not drain.terminated
         await running.events.put(answered())
         sessions.append(await read_until(client, b"0\r\n\r\n"))
-        # Its head promised another request, so it keeps for the grace.
-        await until(lambda: len(bench.server._connections) == 1)
+        # The head allowed another request, so it stays open for the grace period.
+        await wait_until(lambda: len(bench.server._connections) == 1)
         bench.clock.advance(2.0)
         assert await read_to_end(client) == b""
         await client.close()
@@ -90,33 +90,35 @@
 
 
 def test_drain_serves_what_waits_in_the_kernels_queue():
-    """Symptom: a planned restart resets connections that it never saw.
+    """A drain serves connections that were not accepted yet.
 
-    A request has reached the kernel's queue, unaccepted, when accepting ends.  Cause:
-    closing a listening socket resets what waits in its queue.
+    Closing a listening socket resets the connections in the kernel's accept queue, so
+    a planned restart would reset requests that the process never saw.
     """
 
     async def test(bench):
-        await until(lambda: bench.server._accepting)
-        # A plain socket, so that the server has no turn before the drain.
+        await wait_until(lambda: bench.server._accepting)
+        # A blocking socket, so that the server does not run before the drain.
         with standard_socket.create_connection(bench.address) as client:
             client.sendall(request_bytes("GET", "/services/varsel/a"))
             await bench.server.drain(Deadline.after(bench.clock, 60.0))
             return client.recv(READ_SIZE_BYTES)
 
-    received = run_bench(test, lambda request: whole(b"served"), linger_limit_s=0.0)
+    received = run_bench(
+        test, lambda request: complete_answer(b"served"), linger_limit_s=0.0
+    )
     assert received.endswith(b"\r\n\r\nserved")
 
 
 def test_drain_closes_idle_connections_after_a_grace():
-    """An idle connection keeps for the grace, and ends after it."""
+    """An idle connection stays usable for the grace period."""
 
     async def test(bench):
         client = await bench.connect()
-        await until(lambda: bench.server._connections)
+        await wait_until(lambda: bench.server._connections)
         deadline = Deadline.after(bench.clock, 60.0)
         drain = await curio.spawn(bench.server.drain, deadline)
-        await until(lambda: bench.server._context.closing)
+        await wait_until(lambda: bench.server._context.closing)
         await client.sendall(request_bytes("GET", "/healthz", close=False))
         answer = await read_to_end(client)
         await client.close()
@@ -129,7 +131,7 @@
 
 
 def test_drain_gives_up_at_its_deadline():
-    """What does not end is cut off, its answer cancelled, and the drain says so."""
+    """At the deadline open answers are cancelled and `drain` returns False."""
 
     async def test(bench):
         client = await bench.connect()
@@ -137,7 +139,7 @@
         answer = await bench.dispatcher.begun.get()
         deadline = Deadline.after(bench.clock, 60.0)
         drain = await curio.spawn(bench.server.drain, deadline)
-        await until(lambda: bench.server._context.closing)
+        await wait_until(lambda: bench.server._context.closing)
         bench.clock.advance(61.0)
         finished = await drain.join()
         await answer.cancelled.wait()
--- a/siskinthread/callers/tests/test_sessions.py
+++ b/siskinthread/callers/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions against golden files: bytes in, bytes out."""
+"""Complete sessions, compared byte by byte with golden files."""
 
 from pathlib import Path
 
@@ -9,9 +9,9 @@
     answered,
     Bench,
     chat_body,
+    complete_answer,
     event_stream_head,
     request_bytes,
-    whole,
 )
 from siskinthread.outcomes import End, Head, Outcome, Part, Reason
 
@@ -23,7 +23,7 @@
 
 
 def chat(*events):
-    """Return the script of a dispatcher that gives every request the same events."""
+    """Return a dispatcher script with the same events for every request."""
     return lambda request: events
 
 
@@ -38,7 +38,9 @@
     ),
     "whole": (
         request_bytes("POST", "/v1/chat/completions", chat_body(stream=False)),
-        chat(*whole(b'{"usage": {"completion_tokens": 7}}', "application/json")),
+        chat(
+            *complete_answer(b'{"usage": {"completion_tokens": 7}}', "application/json")
+        ),
     ),
     "whole_broken": (
         request_bytes("GET", "/services/varsel/alerts/4"),
@@ -60,12 +62,12 @@
         + request_bytes("HEAD", "/services/varsel/", close=False)
         + request_bytes("GET", "/healthz", key=None, close=False)
         + request_bytes("GET", "/v1/models"),
-        lambda request: whole(f"{request.method} {request.path}".encode()),
+        lambda request: complete_answer(f"{request.method} {request.path}".encode()),
     ),
     "chunked_body": (
         request_bytes("POST", "/services/varsel/a", Transfer_Encoding="chunked")
         + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
-        lambda request: whole(b"got " + request.body),
+        lambda request: complete_answer(b"got " + request.body),
     ),
     "errors": (
         request_bytes("GET", "/nothing", close=False)
@@ -84,7 +86,7 @@
 
 @pytest.mark.parametrize("name", SESSIONS)
 def test_session_matches_golden_file(name):
-    """A session's bytes are those of its golden file."""
+    """The bytes of a session equal its golden file."""
     sent, script = SESSIONS[name]
 
     async def run():
