--- a/siskinthread/daemons/__init__.py
+++ b/siskinthread/daemons/__init__.py
@@ -1,7 +1,7 @@
-"""Thin daemons: entry and agent.
+"""Entry and agent daemons, assembled from the parts of the other packages.
 
 ``run_entry(settings)`` and ``run_agent(settings)`` run until a stop signal, drain and
-return the exit status.
+return the exit status of the process.
 """
 
 from siskinthread.daemons._agent import run_agent
--- a/siskinthread/daemons/_agent.py
+++ b/siskinthread/daemons/_agent.py
@@ -1,4 +1,4 @@
-"""The agent daemon: the only way to the target on its host."""
+"""Agent daemon, which executes the requests for the target on its host."""
 
 import functools
 
@@ -25,28 +25,28 @@
 
 
 def run_agent(settings):
-    """Run the agent until a stop signal; what runs then is finished first.
+    """Run the agent until a stop signal, and drain its running requests.
 
     Parameters
     ----------
     settings : AgentSettings
-        Everything that the process is told.
+        Settings of the process.
 
     Returns
     -------
     int
-        Exit status.
+        Exit status of the process.
     """
     return run_daemon(Agent, settings)
 
 
 class Agent:
-    """The parts of an agent process.
+    """Agent process: assembles its parts and runs their tasks.
 
     Parameters
     ----------
     settings : AgentSettings
-        Everything that the process is told.
+        Settings of the process.
     """
 
     __slots__ = (
@@ -114,12 +114,12 @@
             self._server.rank_service = self._duties.service
 
     async def run(self):
-        """Run until a stop signal and the drain after it."""
+        """Run all tasks until a stop signal, then drain."""
         peers = _listen(self._settings.peer_listen)
         pages = _listen(self._settings.metrics_listen)
         status = StatusServer(self._metrics, self._unready_reason)
         _logger.info(
-            "Agent %s listens for entries on %s:%d.",
+            "Agent %s accepts connections of entries on %s:%d.",
             self._settings.host,
             *peers.getsockname(),
         )
@@ -154,7 +154,9 @@
     async def _drain(self):
         limit_s = self._settings.drain_limit_s
         if not await self._server.drain(Deadline.after(SYSTEM_CLOCK, limit_s)):
-            _logger.warning("Requests still ran at the drain limit.")
+            _logger.warning(
+                "Requests were still running when the drain time limit expired."
+            )
 
 
 def _listen(address):
--- a/siskinthread/daemons/_agent_settings.py
+++ b/siskinthread/daemons/_agent_settings.py
@@ -14,7 +14,7 @@
 
 
 class AgentSettings(Section):
-    """Everything that one agent process is told."""
+    """Settings of an agent process."""
 
     host = Item(str, description="Name of this host in the host list.")
     failure_domain = Item(str, description="Failure domain of this host.")
--- a/siskinthread/daemons/_audit_duties.py
+++ b/siskinthread/daemons/_audit_duties.py
@@ -1,4 +1,4 @@
-"""What an agent does for the audit trail."""
+"""Tasks of an agent for the audit trail."""
 
 import random as random_module
 
@@ -15,27 +15,27 @@
 
 
 class AuditDuties:
-    """Writes events of this process, and copies those of others before they expire.
+    """Records the events of this process, and archives those of streams that expire.
 
     Parameters
     ----------
     settings : AgentSettings
-        Everything that the process is told.
+        Settings of the process.
     identity : Identity
-        This process.
+        Identity of this process.
     membership : MembershipView
-        The agents of the failure domain; one of them copies.
+        Agents of the failure domain, of which one archives.
     client : LogClient
         Client of the log.
     clock : Clock
-        The process's clock.
+        Clock of the process.
     metrics : Metrics
-        The process's metrics.
+        Metrics of the process.
 
     Attributes
     ----------
     recorder : Recorder
-        Takes the events of this process.
+        Buffers and appends the events of this process.
     """
 
     __slots__ = ("_archiver", "_identity", "_membership", "recorder")
@@ -44,8 +44,8 @@
         self._identity = identity
         self._membership = membership
         platform = settings.platform
-        # One pace for both: the bound on all processes' appends counts each process
-        # once.
+        # The recorder and the archiver share one rate limit: the bound on the appends
+        # of the fleet counts each process once.
         pace = Pace(settings.audit, clock, random_module.Random())
         self.recorder = Recorder(
             client,
@@ -73,11 +73,11 @@
         )
 
     def tasks(self):
-        """Return the coroutine functions to run, by name."""
+        """Return the coroutine functions to run, by task name."""
         return {"audit": self.recorder.run, "archive": self._archiver.run}
 
     def is_archiver(self):
-        """Return whether this agent copies for its failure domain."""
+        """Return whether this agent archives for its failure domain."""
         hosts = [
             host
             for host in self._membership.agents()
--- a/siskinthread/daemons/_entry.py
+++ b/siskinthread/daemons/_entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: takes callers' requests and passes them to agents."""
+"""Entry daemon, which accepts requests of callers and forwards them to agents."""
 
 import random
 
@@ -27,28 +27,28 @@
 
 
 def run_entry(settings):
-    """Run the entry until a stop signal; what is in flight then is finished first.
+    """Run the entry until a stop signal, and drain its requests in flight.
 
     Parameters
     ----------
     settings : EntrySettings
-        Everything that the process is told.
+        Settings of the process.
 
     Returns
     -------
     int
-        Exit status.
+        Exit status of the process.
     """
     return run_daemon(Entry, settings)
 
 
 class Entry:
-    """The parts of an entry process.
+    """Entry process: assembles its parts and runs their tasks.
 
     Parameters
     ----------
     settings : EntrySettings
-        Everything that the process is told.
+        Settings of the process.
     """
 
     __slots__ = (
@@ -90,8 +90,8 @@
         self._server = self._build_server(clock)
 
     async def run(self):
-        """Run until a stop signal and the drain after it."""
-        _logger.info("Entry %s starts.", self._settings.host)
+        """Run all tasks until a stop signal, then drain."""
+        _logger.info("Entry %s is starting.", self._settings.host)
         tasks = {
             "links": self._links.run,
             "callers": self._serve_callers,
@@ -123,7 +123,7 @@
             RetryBudget(settings.admission, clock),
             clock,
             metrics,
-            want_link=self._want_link,
+            want_link=self._add_home,
         )
         admission = Admission(
             settings.admission,
@@ -144,13 +144,15 @@
         )
 
     async def _serve_callers(self):
-        # The server closes its socket when it ends, so that a run after an error needs
-        # another one.
+        # The server closes its listening socket when it ends, so a restart of this task
+        # after an error needs a new socket.
         address = self._settings.callers_listen
         listening = curio.network.tcp_server_socket(
             address.host, address.port, backlog=BACKLOG
         )
-        _logger.info("Callers are served on %s:%d.", *listening.getsockname())
+        _logger.info(
+            "Entry accepts connections of callers on %s:%d.", *listening.getsockname()
+        )
         await self._server.run(listening)
 
     async def _serve_operators(self):
@@ -171,8 +173,8 @@
         status = self._links.status(host)
         return status is not None and status.connected
 
-    def _want_link(self, host):
-        if host in self._membership.agents() and self._home_links.want(host):
+    def _add_home(self, host):
+        if host in self._membership.agents() and self._home_links.add(host):
             self._reconcile_links(self._membership)
 
     def _follow_configuration(self, state):
@@ -180,7 +182,7 @@
 
     def _reconcile_links(self, membership):
         agents = membership.agents()
-        homes = self._home_links.known_among(agents)
+        homes = self._home_links.homes_in(agents)
         self._links.reconcile(
             {
                 host: Address(agents[host].address, agents[host].port)
@@ -189,10 +191,11 @@
         )
 
     def _subset(self, membership, agents):
-        """Return the agents to link to, beside the homes of keys.
+        """Return the agents to link to, apart from the homes of idempotency keys.
 
-        A configuration tells which agents serve what, so that no service is missed.
-        Before one is known a few links of any kind are enough to get it from peers.
+        The configuration states which agents serve which service, so that each service
+        gets links.  Before a configuration is known, links to a few agents are enough
+        to fetch it from them.
         """
         settings = self._settings
         state = self._view.state
@@ -216,4 +219,6 @@
     async def _drain(self):
         limit_s = self._settings.drain_limit_s
         if not await self._server.drain(Deadline.after(SYSTEM_CLOCK, limit_s)):
-            _logger.warning("Requests were still in flight at the drain limit.")
+            _logger.warning(
+                "Requests were still in flight when the drain time limit expired."
+            )
--- a/siskinthread/daemons/_entry_settings.py
+++ b/siskinthread/daemons/_entry_settings.py
@@ -13,7 +13,7 @@
 
 
 class EntrySettings(Section):
-    """Everything that one entry process is told."""
+    """Settings of an entry process."""
 
     host = Item(str, description="Name of this host in the host list.")
     failure_domain = Item(str, description="Failure domain of this host.")
@@ -36,7 +36,7 @@
         default=64,
         minimum=1,
         description="Most links, beside those of `routing.subset_size`, to homes of "
-        "idempotency keys that this entry has met.",
+        "idempotency keys that this entry has received.",
     )
     callers = Item(CallerSettings, description="HTTP towards callers.")
     admission = Item(AdmissionSettings, description="Limits, shedding, retry budget.")
--- a/siskinthread/daemons/_experts_status.py
+++ b/siskinthread/daemons/_experts_status.py
@@ -1,11 +1,11 @@
-"""An agent's answer to operators who ask about expert maps."""
+"""Status of expert maps that an agent reports to operators."""
 
 from siskinthread.experts import encode_map
 from siskinthread.wire import ExpertsStatus
 
 
 def no_group_status(host):
-    """Return the `ExpertsStatus` of a host that has no rank of the group asked about.
+    """Return the `ExpertsStatus` of a host without a rank of the requested group.
 
     Parameters
     ----------
@@ -16,23 +16,23 @@
 
 
 def group_status(group, identity, owner, controller):
-    """Return the `ExpertsStatus` of a host with a rank.
+    """Return the `ExpertsStatus` of a host with a rank of the group.
 
     Parameters
     ----------
     group : str
-        Group of the rank.
+        Name of the model group.
     identity : siskinthread.wire.Identity
-        This process.
+        Identity of this process.
     owner : siskinthread.ownership.Owner or None
-        Owner of the group as far as this host knows.
+        Owner of the group that this host knows of.
     controller : siskinthread.experts.Controller
-        This host's controller of the group, whether it acts or not.
+        Controller of the group on this host, active or not.
 
     Notes
     -----
-    A host that lost the group says nothing of what its controller held: it would be
-    the state at the time of the loss, shown as if it were present.
+    A host that is no longer the owner leaves out the state of its controller, which is
+    as old as the loss of the group and would be shown as the current state.
     """
     status = ExpertsStatus(group=group, host=identity.host, controls=False)
     if owner is None:
--- a/siskinthread/daemons/_group_duties.py
+++ b/siskinthread/daemons/_group_duties.py
@@ -1,4 +1,4 @@
-"""What an agent does for the model group whose rank runs on its host."""
+"""Tasks of an agent for the model group whose rank runs on its host."""
 
 import functools
 
@@ -12,26 +12,26 @@
 
 
 class GroupDuties:
-    """The gate of the rank, the claim of the group, and the controller if it is owned.
+    """Rank service, claims of the group, and its controller while the group is owned.
 
     Parameters
     ----------
     settings : AgentSettings
-        Everything that the process is told.
+        Settings of the process.
     identity : Identity
-        This process.
+        Identity of this process.
     view : ConfigurationView
-        The configuration in force.
+        Configuration in force.
     membership : MembershipView
         Addresses of the other agents.
     client : LogClient
         Client of the log.
     recorder : Recorder
-        Takes the map changes for the audit trail.
+        Records map changes in the audit trail.
     clock : Clock
-        The process's clock.
+        Clock of the process.
     metrics : Metrics
-        The process's metrics.
+        Metrics of the process.
     """
 
     __slots__ = (
@@ -85,7 +85,7 @@
             rank.plan_interval_s,
             functools.partial(self._claimer.confirm, rank.group),
             self._objective,
-            self._record,
+            self._record_change,
             clock,
         )
         self._skew = metrics.gauge(
@@ -93,7 +93,7 @@
         )
 
     def tasks(self):
-        """Return the coroutine functions to run, by name."""
+        """Return the coroutine functions to run, by task name."""
         return {
             "rank": self.service.run,
             "claims": self._claimer.run,
@@ -102,7 +102,7 @@
         }
 
     def answer_experts(self, question):
-        """Return the `ExpertsStatus` for an operator's `ExpertsQuestion`."""
+        """Return the `ExpertsStatus` that answers an operator's `ExpertsQuestion`."""
         group = self._settings.rank.group
         if question.group not in ("", group):
             return no_group_status(self._identity.host)
@@ -136,7 +136,7 @@
         while True:
             agents = self._membership.agents()
             hosts = self._hosts()
-            # Without the address of one rank no change could reach them all.
+            # A map change has to reach every rank, so the addresses of all are needed.
             if hosts and all(host in agents for host in hosts):
                 await self._ranks.reconcile(
                     {
@@ -155,7 +155,7 @@
                 await self._ranks.send_heartbeat()
             await curio.sleep(self._settings.peers.heartbeat_interval_s)
 
-    def _record(self, fencing, old_version, version, result):
+    def _record_change(self, fencing, old_version, version, result):
         self._recorder.record(
             map_entry(
                 self._settings.rank.group,
--- a/siskinthread/daemons/_home_links.py
+++ b/siskinthread/daemons/_home_links.py
@@ -1,21 +1,22 @@
-"""Links to homes of idempotency keys that lie outside of an entry's subset."""
+"""Homes of idempotency keys that an entry links to in addition to its subset."""
 
 from collections import OrderedDict
 
 
 class HomeLinks:
-    """The homes that were wanted last.
+    """The most recently requested homes of idempotency keys.
 
     Parameters
     ----------
     limit : int
-        Most homes; the one that was wanted longest ago gives way.
+        Largest number of homes; the least recently requested home is evicted.
 
     Notes
     -----
-    A key has one home among all targets, while an entry keeps links to a subset of
-    them.  Without links of their own, requests with keys would get through at few
-    entries only; one would notice ``no_target`` for the same key at most entries.
+    An idempotency key has one home among all targets, while an entry links to a subset
+    of the targets.  Without additional links, only the few entries whose subset
+    contains the home could forward requests with the key, and the others would refuse
+    them with ``no_target``.
     """
 
     __slots__ = ("_homes", "_limit")
@@ -24,13 +25,13 @@
         self._limit = limit
         self._homes = OrderedDict()
 
-    def want(self, host):
-        """Note that a home is wanted now.
+    def add(self, host):
+        """Record a request for a home, as the most recent one.
 
         Returns
         -------
         bool
-            Whether it was not among the known ones.
+            Whether the home is new.
         """
         is_new = host not in self._homes
         self._homes[host] = True
@@ -39,6 +40,6 @@
             self._homes.popitem(last=False)
         return is_new
 
-    def known_among(self, hosts):
-        """Return those of the known homes that are in `hosts`."""
+    def homes_in(self, hosts):
+        """Return the homes that are in `hosts`, least recently requested first."""
         return [host for host in self._homes if host in hosts]
--- a/siskinthread/daemons/_running.py
+++ b/siskinthread/daemons/_running.py
@@ -1,4 +1,4 @@
-"""What both daemons do around their parts."""
+"""Start and end of a daemon process."""
 
 import curio
 
@@ -8,19 +8,19 @@
 
 
 def run_daemon(daemon_class, settings):
-    """Run a daemon until a stop signal, with its log.
+    """Set up the log, and run a daemon until a stop signal.
 
     Parameters
     ----------
     daemon_class : type
-        Built from the settings; has the coroutine ``run()``.
+        Class of the daemon, called with `settings`; has a coroutine ``run()``.
     settings : Section
-        Everything that the process is told.
+        Settings of the process.
 
     Returns
     -------
     int
-        Exit status.
+        Exit status of the process.
     """
     output = set_up_logging(settings.logging)
     try:
--- a/siskinthread/daemons/tests/__init__.py
+++ b/siskinthread/daemons/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of daemons."""
+"""Tests of the daemons."""
--- a/siskinthread/daemons/tests/test_entry.py
+++ b/siskinthread/daemons/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of the entry process as a whole."""
+"""Tests of the assembled entry process."""
 
 import os
 import signal
@@ -24,7 +24,7 @@
 
 
 def make_settings():
-    """Return settings of an entry whose platform does not answer."""
+    """Return settings of an entry that can't reach the platform."""
     return EntrySettings(
         host="entry-1",
         failure_domain="steinkjer",
@@ -37,7 +37,7 @@
 
 
 async def fetch_status(address, path):
-    """Return the HTTP status of a page."""
+    """Return the HTTP status code of a page."""
     async with await curio.open_connection(*address) as socket:
         request = f"GET {path} HTTP/1.1\r\nhost: entry\r\nconnection: close\r\n\r\n"
         await socket.sendall(request.encode())
@@ -45,12 +45,12 @@
 
 
 def test_entry_cut_off_from_its_start_is_alive_not_ready_and_stops(monkeypatch):
-    """Without log and peers an entry runs, is not ready, and stops with status 0.
+    """An entry without log and peers is live, not ready, and exits with status 0.
 
-    Symptom: callers are sent to an entry that refuses everything, or an entry hangs at
-    its stop.  Sequence: it starts while its failure domain is cut off, then gets
-    SIGTERM.  Cause: readiness did not look for a configuration, or a task that waits
-    for the platform held up the drain.
+    Guards against an entry that is started while its failure domain is cut off and
+    reports itself ready without a configuration, so that it gets requests which it
+    refuses, or hangs after SIGTERM because a task that waits for the platform delays
+    the drain.
     """
     statuses = []
     listening_on = curio.Queue()
@@ -73,11 +73,10 @@
 
 
 def test_links_reach_a_small_service_once_it_is_configured():
-    """Among more agents than an entry links to, every service has links.
+    """An entry that links to a subset of the agents has links for each service.
 
-    Symptom: ``no_target`` for a service with few hosts, at some entries only.
-    Sequence: the host list names 200 agents, two of which a placement gives to one
-    service.  Cause: the subset was taken from all agents, whatever they serve.
+    Guards against ``no_target`` at some entries for a service with 2 of 200 agents,
+    which occurs if the subset is drawn from all agents regardless of their services.
     """
     agents = [
         HostEntry(f"host-{index:03d}", "agent", "127.0.0.1", 1, "steinkjer", False)
--- a/siskinthread/daemons/tests/test_home_links.py
+++ b/siskinthread/daemons/tests/test_home_links.py
@@ -1,20 +1,20 @@
-"""Tests of the links to homes outside of the subset."""
+"""Tests of the homes that an entry links to in addition to its subset."""
 
 from siskinthread.daemons._home_links import HomeLinks
 
 
 def test_home_wanted_longest_ago_gives_way():
-    """The number of links stays bounded; a home wanted again is kept."""
+    """The number of homes is bounded; a home that is requested again is kept."""
     homes = HomeLinks(2)
-    assert homes.want("a")
-    assert homes.want("b")
-    assert not homes.want("a")
-    assert homes.want("c")
-    assert homes.known_among({"a", "b", "c"}) == ["a", "c"]
+    assert homes.add("a")
+    assert homes.add("b")
+    assert not homes.add("a")
+    assert homes.add("c")
+    assert homes.homes_in({"a", "b", "c"}) == ["a", "c"]
 
 
 def test_home_that_is_gone_is_not_dialled():
-    """A host that left the host list gets no link."""
+    """A host that is no longer on the host list gets no link."""
     homes = HomeLinks(2)
-    homes.want("a")
-    assert homes.known_among({"b"}) == []
+    homes.add("a")
+    assert homes.homes_in({"b"}) == []
