--- a/siskinthread/audit/__init__.py
+++ b/siskinthread/audit/__init__.py
@@ -1,14 +1,15 @@
-"""The audit trail: who changed what, from what to what, at which offset.
+"""Audit trail: author, object, old and new value and log offset of each change.
 
-Interface: ``Pace(settings, clock, random)`` bounds what one process appends;
-``Recorder(client, stream, settings, pace, host, incarnation, clock, metrics)`` with
-``record(entry)`` and ``async run()`` writes events that no stream holds, such as
-``map_entry(...)``; ``Archiver(client, platform, configuration, settings, sources, pace,
-is_writer, clock, metrics)`` with ``async run()`` copies the others from their streams,
-``ConfigurationSource`` and ``OwnershipSource``, before they expire.
-``read_trail(settings, query)`` is for the command line.
+Interface: ``AppendLimiter(settings, clock, random)`` bounds the rate of the appends
+of one process; ``Recorder(client, stream, settings, limiter, host, incarnation, clock,
+metrics)`` with ``record(entry)`` and ``async run()`` writes events that are in no other
+stream, such as ``map_entry(...)``; ``Archiver(client, platform, configuration,
+settings, sources, limiter, is_writer, clock, metrics)`` with ``async run()`` copies the
+events of the streams of ``ConfigurationSource`` and ``OwnershipSource`` before they
+expire; ``read_trail(settings, query)`` reads the trail for the command line.
 """
 
+from siskinthread.audit._append_limiter import AppendLimiter
 from siskinthread.audit._archiver import Archiver
 from siskinthread.audit._claims import OwnershipSource
 from siskinthread.audit._entries import Entry, Kind, map_entry
@@ -18,7 +19,6 @@
     parse_since,
     read_trail,
 )
-from siskinthread.audit._pace import Pace
 from siskinthread.audit._recorder import Recorder
 from siskinthread.audit._settings import AuditSettings
 from siskinthread.audit._sources import ConfigurationSource
@@ -32,7 +32,7 @@
     "Entry",
     "Kind",
     "OwnershipSource",
-    "Pace",
+    "AppendLimiter",
     "Recorder",
     "map_entry",
     "parse_since",
--- a/siskinthread/audit/_pace.py
+++ b/siskinthread/audit/_append_limiter.py
@@ -1,30 +1,30 @@
-"""How often one process may append to the audit stream."""
+"""Rate limit on the appends of one process to the audit stream."""
 
 from siskinthread.admission._bucket import TokenBucket
 from siskinthread.timing import Deadline
 
 
-class Pace:
-    """A token bucket with a burst of one, and jitter before each append.
+class AppendLimiter:
+    """Token bucket with a burst of one append, and jitter before each append.
 
-    All that one process writes to the audit stream shares one bucket.
+    All writers of a process to the audit stream share one bucket.
 
     Parameters
     ----------
     settings : AuditSettings
-        Least time between appends.
+        Settings with ``append_interval_s``, the minimum time between appends.
     clock : Clock
-        The process's clock.
+        Clock of the process.
     random : random.Random
         Source of the jitter.
     bucket : TokenBucket or None
-        Shared by all that the process writes; None for a new one, see `share`.
+        Bucket that all writers of the process share; None for a new one, see `share`.
 
     Notes
     -----
-    The bucket bounds the mean rate of n processes by ``n / append_interval_s``; the
-    jitter keeps an event that all of them see at one moment from making them all
-    append at that moment.
+    The bucket bounds the mean rate of n processes to ``n / append_interval_s``.  The
+    jitter spreads the appends of processes that observe the same event at the same
+    time.
     """
 
     __slots__ = (
@@ -45,22 +45,22 @@
         self._deadline = None
 
     def share(self):
-        """Return a pace with a jitter of its own and the same bucket."""
-        return Pace(self._settings, self._clock, self._random, self._bucket)
+        """Return a limiter with the same bucket and a jitter of its own."""
+        return AppendLimiter(self._settings, self._clock, self._random, self._bucket)
 
     def ready(self):
-        """Return whether to append now; asked again and again while there is need."""
+        """Return whether an append is allowed now; polled while one is pending."""
         if self._deadline is None:
             jitter_s = self._random.uniform(0.0, self._interval_s)
             wait_s = max(jitter_s, self._bucket.wait_s(1.0))
             self._deadline = Deadline.after(self._clock, wait_s)
         return self._deadline.passed() and self._bucket.wait_s(1.0) == 0.0
 
-    def spend(self):
-        """Take in that an append is made, whatever becomes of it."""
+    def note_append(self):
+        """Count an append, whether it succeeds or not."""
         self._bucket.take(1.0)
         self._deadline = None
 
-    def rest(self):
-        """Take in that there is nothing to append, so that the next need has jitter."""
+    def reset(self):
+        """Discard the deadline, so that the next pending append draws new jitter."""
         self._deadline = None
--- a/siskinthread/audit/_archive.py
+++ b/siskinthread/audit/_archive.py
@@ -1,4 +1,4 @@
-"""The archive: what the audit stream holds."""
+"""Entries that the audit stream contains."""
 
 import operator
 
@@ -9,14 +9,19 @@
 
 
 class KeptEntry:
-    """An entry and where the stream holds it.
+    """An entry with its position in the audit stream.
 
     Parameters
     ----------
     entry : Entry
-        The entry.
+        Archived entry.
     offset : int
-        Newest record of the audit stream that holds it.
+        Offset of the newest record of the audit stream that contains the entry.
+
+    Attributes
+    ----------
+    size_bytes : int
+        Encoded size of the entry.
     """
 
     __slots__ = ("entry", "offset", "size_bytes")
@@ -33,14 +38,15 @@
     Parameters
     ----------
     settings : AuditSettings
-        Bounds.
+        Bounds on age, number and size of the entries.
 
     Attributes
     ----------
     through : dict of str to int
-        For each source, the offset up to which it is archived.
+        Offset up to which each source is archived.
     dropped_through_ms : int or None
-        Time of the newest entry that the bounds dropped; None before.
+        Time of the newest entry that was dropped to meet the bounds, Unix milliseconds;
+        None if no entry was dropped.
     """
 
     __slots__ = (
@@ -61,14 +67,14 @@
         self.dropped_through_ms = None
 
     def holds_or_dropped(self, entry):
-        """Return whether an entry is kept, or older than what the bounds dropped."""
+        """Return whether an entry is archived, or as old as the dropped entries."""
         if entry.event_id in self._kept:
             return True
         dropped_ms = self.dropped_through_ms
         return dropped_ms is not None and entry.at_ms <= dropped_ms
 
     def add(self, record):
-        """Take in a record of the audit stream."""
+        """Add the entries of an audit record, and drop entries beyond the bounds."""
         page = read_page(record.body)
         if page is None:
             return
@@ -79,32 +85,32 @@
             self._keep(entry, record.offset)
         self._drop()
 
-    def forget_places(self):
-        """Take in that the stream lost records; whatever is held must be re-appended.
+    def forget_offsets(self):
+        """Mark all entries as absent from the stream, so that they are appended again.
 
-        Without this, entries that only the lost records held would be taken for kept
-        and vanish with this process.
+        Called after the stream lost records.  Otherwise entries that only the lost
+        records contained would count as archived, and be lost with this process.
         """
         for kept in self._kept.values():
             kept.offset = NOT_IN_STREAM
 
     def entries(self):
-        """Return the entries, oldest first."""
+        """Return all entries, oldest first."""
         entries = [kept.entry for kept in self._kept.values()]
-        return sorted(entries, key=order_of)
+        return sorted(entries, key=sort_key)
 
     def oldest_offset(self):
-        """Return the oldest record that is still needed, or None without entries."""
+        """Return the lowest offset of an entry, or None without entries."""
         offsets = (kept.offset for kept in self._kept.values())
         return min(offsets, default=None)
 
     def newest_offset(self):
-        """Return the newest record that is still needed, or None without entries."""
+        """Return the highest offset of an entry, or None without entries."""
         offsets = (kept.offset for kept in self._kept.values())
         return max(offsets, default=None)
 
-    def needed_before(self, offset):
-        """Return the entries that no record from `offset` on holds, oldest first."""
+    def entries_before(self, offset):
+        """Return the entries that are only in records before `offset`, oldest first."""
         older = [kept for kept in self._kept.values() if kept.offset < offset]
         older.sort(key=operator.attrgetter("offset"))
         return [kept.entry for kept in older]
@@ -124,7 +130,7 @@
         within = self._size_bytes <= settings.keep_limit_bytes
         if within and len(self._kept) <= settings.keep_entries:
             return
-        ordered = sorted(self._kept.values(), key=lambda kept: order_of(kept.entry))
+        ordered = sorted(self._kept.values(), key=lambda kept: sort_key(kept.entry))
         for kept in ordered:
             spare = len(self._kept) > settings.keep_entries
             too_old = spare and kept.entry.at_ms < oldest_ms
@@ -135,6 +141,6 @@
             self.dropped_through_ms = kept.entry.at_ms
 
 
-def order_of(entry):
-    """Return the key by which entries are sorted: time, then id."""
+def sort_key(entry):
+    """Return the key by which entries are sorted: time, source offset, id."""
     return entry.at_ms, entry.offset or 0, entry.event_id
--- a/siskinthread/audit/_claims.py
+++ b/siskinthread/audit/_claims.py
@@ -1,7 +1,7 @@
-"""Ownership changes as entries, from their own stream."""
+"""Source of ownership changes: the ownership stream."""
 
 from siskinthread.audit._entries import Entry, Kind, source_event_id
-from siskinthread.audit._sources import Derived
+from siskinthread.audit._sources import SourceReading
 from siskinthread.configuration._fold import record_digest
 from siskinthread.configuration._reading import Condition
 from siskinthread.ownership import ClaimReader, ClaimStatus
@@ -10,7 +10,7 @@
 
 
 class OwnershipSource:
-    """Claims, granted and not, from the ownership stream.
+    """Granted and rejected claims of the ownership stream.
 
     Parameters
     ----------
@@ -28,12 +28,12 @@
         self._reader = ClaimReader(client, stream)
 
     async def read_on(self):
-        """Read what is new; return it as `Derived`.
+        """Read the new records; return them as a `SourceReading`.
 
         Raises
         ------
         PlatformUnavailableError
-            If the log gave no answer.
+            If the log does not answer.
         """
         reading = await self._reader.catch_up()
         entries = [
@@ -45,7 +45,7 @@
         if reading.condition is not Condition.GOOD:
             trouble = f"{reading.condition}: {reading.detail}"
         records = [verdict.record for verdict in reading.verdicts]
-        return Derived(records, entries, trouble)
+        return SourceReading(records, entries, trouble)
 
 
 def ownership_entry(verdict):
@@ -60,14 +60,14 @@
         who,
         f"group {claim.group}" if claim else "all groups",
         str(verdict.status),
-        _name(verdict.before),
+        _format_owner(verdict.before),
         f"{who}@{record.offset}" if granted else None,
         record.offset,
         "" if granted or claim is None else f"made for claim {claim.supersedes}",
     )
 
 
-def _name(owner):
+def _format_owner(owner):
     if owner is None:
         return None
     return f"{owner.host}/{owner.incarnation}@{owner.fencing}"
--- a/siskinthread/audit/_entries.py
+++ b/siskinthread/audit/_entries.py
@@ -12,7 +12,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What an entry is about."""
+    """Kind of event that an entry describes."""
 
     CONFIGURATION = "configuration"
     OWNERSHIP = "ownership"
@@ -21,28 +21,31 @@
 
 
 class Entry:
-    """One event of the trail.
+    """One event of the audit trail.
 
     Parameters
     ----------
     event_id : str
-        The same whoever derives or writes the event, so that repeats are recognised.
+        Identifier that does not depend on the process which derives or writes the
+        event, so that repeats are recognised.
     kind : Kind
-        What it is about.
+        Kind of event.
     at_ms : int
-        When, Unix milliseconds; the log's time if the event is a record of it.
+        Time of the event, Unix milliseconds; for a record of the log, the time that the
+        log assigned.
     who : str
-        Author, or host of the process.
+        Author of the change, or host of the process.
     what : str
-        What was changed.
+        Description of the change.
     outcome : str
-        What became of it, such as "accepted".
+        Outcome of the change, such as "accepted".
     before, after : int, str or None
-        Version, owner or map before and after it; `after` is None if nothing changed.
+        Version, owner or map before and after the change; `after` is None if nothing
+        changed.
     offset : int or None
         Offset of the record in the stream of its kind.
     reason : str
-        Why it was not accepted.
+        Reason why the change was not accepted, truncated to `REASON_LIMIT` characters.
     """
 
     __slots__ = (
@@ -82,8 +85,8 @@
         self.offset = offset
         self.reason = reason[:REASON_LIMIT]
 
-    def plain(self):
-        """Return the entry as a plain dict for JSON."""
+    def as_dict(self):
+        """Return the entry as a dict for JSON."""
         return {
             "id": self.event_id,
             "kind": str(self.kind),
@@ -98,46 +101,46 @@
         }
 
     @classmethod
-    def from_plain(cls, value):
-        """Return the entry of a plain dict.
+    def from_dict(cls, value):
+        """Return the entry that a dict from JSON describes.
 
         Raises
         ------
         KeyError, TypeError or ValueError
-            If it is none.
+            If the dict does not describe an entry.
         """
         return cls(
-            _text(value["id"]),
+            _require_text(value["id"]),
             Kind(value["kind"]),
             int(value["at_ms"]),
-            _text(value["who"]),
-            _text(value["what"]),
-            _text(value["outcome"]),
+            _require_text(value["who"]),
+            _require_text(value["what"]),
+            _require_text(value["outcome"]),
             value["from"],
             value["to"],
             value["offset"],
-            _text(value["reason"]),
+            _require_text(value["reason"]),
         )
 
 
 def source_event_id(kind, offset, digest):
-    """Return the id of an event that a record of a stream is.
+    """Return the id of an event that is a record of a stream.
 
     Parameters
     ----------
     kind : Kind
-        What the stream holds.
+        Kind of events in the stream.
     offset : int
         Offset of the record.
     digest : str
-        Its `record_digest`; a log that was shortened and written on holds another
-        event at the same offset.
+        `record_digest` of the record, which is needed because a log that lost records
+        assigns their offsets to other events.
     """
     return f"{kind}/{offset}/{digest[:DIGEST_LENGTH]}"
 
 
 def configuration_entry(verdict, digest):
-    """Return the `Entry` of a verdict of the fold, or None for a snapshot."""
+    """Return the `Entry` of a fold's verdict on a record, or None for a snapshot."""
     if verdict.status is Status.SNAPSHOT:
         return None
     change = verdict.change
@@ -166,18 +169,18 @@
     host : str
         Host of the controller.
     fencing : int
-        Offset of its claim.
+        Fencing number of the controller, which is the offset of its claim.
     old_version, version : int
-        Version in force before, and the one to reach.
+        Version in force before the change, and the version that the change introduces.
     outcome : siskinthread.experts.ChangeResult
-        What became of it.
+        Outcome of the change.
     at_ms : int
-        Wall clock of the controller, Unix milliseconds.
+        Wall-clock time of the controller, Unix milliseconds.
 
     Notes
     -----
-    One controller may try to reach a version several times; each outcome is an entry
-    of its own, a repeated one isn't.
+    A controller may attempt a change to the same version several times.  Each different
+    outcome has an entry of its own; a repeated outcome has the same id.
     """
     return Entry(
         f"{Kind.EXPERT_MAP}/{group}/{fencing}/{old_version}-{version}/{outcome}",
@@ -192,7 +195,7 @@
 
 
 def lost_entry(source, first_offset, last_offset, at_ms):
-    """Return the `Entry` that says that records expired before they were read."""
+    """Return the `Entry` that reports records which expired before they were read."""
     span = f"{first_offset}-{last_offset}"
     return Entry(
         f"{Kind.LOST}/{source}/{span}",
@@ -205,17 +208,17 @@
 
 
 def dropped_entry(host, incarnation, total, at_ms):
-    """Return the `Entry` that says how many events a full buffer dropped.
+    """Return the `Entry` that reports how many events a full buffer dropped.
 
     Parameters
     ----------
     host, incarnation : str
-        Process that dropped them.
+        Process that dropped the events.
     total : int
-        Events since the process began; a later entry includes those of earlier ones,
-        so that a repeated append counts nothing twice.
+        Events dropped since the process started.  The total is cumulative, so that a
+        repeated append does not count an event twice.
     at_ms : int
-        Wall clock, Unix milliseconds.
+        Wall-clock time, Unix milliseconds.
     """
     return Entry(
         f"{Kind.LOST}/{host}/{incarnation}/{total}",
@@ -240,7 +243,7 @@
     return f"{change.record_id}: {' '.join(shown)}"
 
 
-def _text(value):
+def _require_text(value):
     if not isinstance(value, str):
-        raise TypeError(f"{value!r} is no text")
+        raise TypeError(f"expected a string, got {value!r}")
     return value
--- a/siskinthread/audit/_operators.py
+++ b/siskinthread/audit/_operators.py
@@ -1,4 +1,4 @@
-"""What the operators' command builds on: the whole trail, chosen and shown."""
+"""Reading, filtering and rendering of the audit trail for operators."""
 
 import json
 import re
@@ -19,14 +19,14 @@
 
 
 class AuditQuery:
-    """What an operator asks for.
+    """Filter on the entries of the trail, and the streams to read.
 
     Parameters
     ----------
     since_ms : int or None
-        Oldest entry wanted, Unix milliseconds.
+        Time of the oldest entry to return, Unix milliseconds; None for no limit.
     kinds : collection of Kind
-        Kinds wanted; all if empty.
+        Kinds of entries to return; all kinds if empty.
     audit_stream, ownership_stream : str
         Names of the streams.
     """
@@ -40,21 +40,21 @@
         self.ownership_stream = ownership_stream
 
     def matches(self, entry):
-        """Return whether an entry is wanted."""
+        """Return whether an entry passes the filter."""
         if self.since_ms is not None and entry.at_ms < self.since_ms:
             return False
         return not self.kinds or entry.kind in self.kinds
 
 
 class AuditAnswer:
-    """The entries that were asked for.
+    """Result of an `AuditQuery`.
 
     Parameters
     ----------
     entries : list of Entry
-        Oldest first.
+        Matching entries, oldest first.
     warnings : list of str
-        Streams that could not be followed.
+        Messages on the streams that could not be followed.
     """
 
     __slots__ = ("entries", "warnings")
@@ -64,30 +64,30 @@
         self.warnings = warnings
 
     def render(self, as_json):
-        """Return the text to print, with its line ends."""
+        """Return the answer as lines of text, or as JSON if `as_json` is true."""
         if as_json:
-            plain = [entry.plain() for entry in self.entries]
+            plain = [entry.as_dict() for entry in self.entries]
             value = {"entries": plain, "warnings": self.warnings}
             return json.dumps(value, indent=2) + "\n"
         lines = [f"warning: {warning}" for warning in self.warnings]
-        lines += [_line(entry) for entry in self.entries]
+        lines += [_format_line(entry) for entry in self.entries]
         return "\n".join(lines or ["The trail is empty."]) + "\n"
 
 
 def parse_since(text, now_ms):
-    """Return the time that an operator wrote, Unix milliseconds.
+    """Parse an age or a time into Unix milliseconds.
 
     Parameters
     ----------
     text : str
-        An age such as "12h" or "7d", or an ISO 8601 time, in UTC if it names no zone.
+        Age such as "12h" or "7d", or ISO 8601 time, in UTC if it has no time zone.
     now_ms : int
-        Wall clock, Unix milliseconds.
+        Wall-clock time, Unix milliseconds.
 
     Raises
     ------
     ValueError
-        If it is neither.
+        If the text is neither an age nor a time.
     """
     age = _AGE.fullmatch(text)
     try:
@@ -110,7 +110,7 @@
     Raises
     ------
     PlatformUnavailableError
-        If the log gave no answer.
+        If the log does not answer.
     """
     sources = [
         ConfigurationSource(client, configuration_stream),
@@ -134,14 +134,14 @@
     Parameters
     ----------
     settings : siskinthread.configuration.operators.OperatorSettings
-        Log, configuration stream and waits.
+        Address of the log, name of the configuration stream, and time limits.
     query : AuditQuery
-        What is wanted.
+        Filter and names of the streams.
 
     Raises
     ------
     PlatformUnavailableError
-        If the log gave no answer in time.
+        If the log does not answer within ``settings.deadline_s``.
     """
     return curio.run(_read_trail, settings, query)
 
@@ -164,15 +164,15 @@
         await client.close()
 
 
-def _line(entry):
+def _format_line(entry):
     moment = datetime.fromtimestamp(entry.at_ms / MILLISECONDS_PER_SECOND, UTC)
     time = moment.strftime("%Y-%m-%dT%H:%M:%SZ")
     offset = "-" if entry.offset is None else entry.offset
-    change = f"{_shown(entry.before)} -> {_shown(entry.after)}"
+    change = f"{_format_value(entry.before)} -> {_format_value(entry.after)}"
     parts = [time, entry.kind, offset, entry.outcome, entry.who or "-", change]
     line = "  ".join(str(part) for part in [*parts, entry.what])
     return f"{line}  ({entry.reason})" if entry.reason else line
 
 
-def _shown(value):
+def _format_value(value):
     return "-" if value is None else value
--- a/siskinthread/audit/_pages.py
+++ b/siskinthread/audit/_pages.py
@@ -1,4 +1,4 @@
-"""Pages: records of the audit stream, each with many entries."""
+"""Pages: records of the audit stream, each with several entries."""
 
 import json
 
@@ -15,9 +15,9 @@
     Parameters
     ----------
     entries : list of Entry
-        Events, each perhaps in other pages too.
+        Entries; an entry may also be in other pages.
     through : dict of str to int
-        For each source, the offset up to which it had been archived.
+        Offset up to which each source was archived when the page was written.
     """
 
     __slots__ = ("entries", "through")
@@ -28,24 +28,24 @@
 
 
 def encode_page(page):
-    """Return the body of a page."""
+    """Return the record body of a page."""
     return encode(
         {
             "format": FORMAT_VERSION,
             "kind": "page",
             "through": page.through,
-            "entries": [entry.plain() for entry in page.entries],
+            "entries": [entry.as_dict() for entry in page.entries],
         }
     )
 
 
 def read_page(body):
-    """Return the `Page` of a body, or None if it is none.
+    """Return the `Page` that a record body encodes, or None if it encodes none.
 
     Notes
     -----
-    An entry that this program can't read is left out alone: the trail of mixed
-    versions must not lose a page for it.
+    Only the entries that can't be decoded are skipped, not the whole page, as processes
+    of other versions may write entries that this version does not know.
     """
     try:
         value = json.loads(body)
@@ -59,12 +59,12 @@
 
 
 def size_bytes(entry):
-    """Return the size of an entry within a page."""
-    return len(encode(entry.plain())) + 1
+    """Return the encoded size of an entry within a page."""
+    return len(encode(entry.as_dict())) + 1
 
 
-def fitting(entries, limit_bytes):
-    """Return as many of the first entries as fit into a page, at least one."""
+def fitting_prefix(entries, limit_bytes):
+    """Return the longest prefix of entries that fits into a page, at least one."""
     chosen = []
     left_bytes = limit_bytes - ENVELOPE_BYTES
     for entry in entries:
@@ -77,6 +77,6 @@
 
 def _read_entry(plain):
     try:
-        return Entry.from_plain(plain)
+        return Entry.from_dict(plain)
     except (KeyError, TypeError, ValueError):
         return None
--- a/siskinthread/audit/_settings.py
+++ b/siskinthread/audit/_settings.py
@@ -4,7 +4,7 @@
 
 
 class AuditSettings(Section):
-    """How long the trail is kept, and how often it may be written."""
+    """Retention of the audit trail, and limits on its writes."""
 
     keep_days = Item(
         float,
@@ -16,24 +16,24 @@
         int,
         default=2000,
         minimum=0,
-        description="Newest entries that are kept whatever their age, so that a "
-        "forward jump of the log's clock does not drop all.",
+        description="Number of newest entries that are kept at any age, so that a "
+        "forward jump of the log's clock does not drop all entries.",
     )
     keep_limit_bytes = Item(
         int,
         default=12 * 1024 * 1024,
         minimum=4096,
-        description="Size of the kept entries; beyond it the oldest are dropped, "
-        "counted and logged.",
+        description="Largest total size of the kept entries; beyond it the oldest are "
+        "dropped, counted and logged.",
     )
     record_limit_bytes = Item(
-        int, default=256 * 1024, minimum=4096, description="Longest record of a page."
+        int, default=256 * 1024, minimum=4096, description="Largest record of a page."
     )
     append_interval_s = Item(
         float,
         default=20.0,
         minimum=0.001,
-        description="Least time between two appends of one process.",
+        description="Minimum time between two appends of one process.",
     )
     poll_interval_s = Item(
         float,
@@ -45,6 +45,6 @@
         int,
         default=1000,
         minimum=1,
-        description="Events that a process holds while the log is down; further ones "
-        "are dropped and counted in the trail.",
+        description="Largest number of events that a process buffers while the log is "
+        "down; further events are dropped and counted in the trail.",
     )
--- a/siskinthread/audit/_sources.py
+++ b/siskinthread/audit/_sources.py
@@ -1,4 +1,4 @@
-"""Streams whose records are the events themselves, from which entries are derived."""
+"""Sources: streams from whose records audit entries are derived."""
 
 from siskinthread.audit._entries import configuration_entry, Kind
 from siskinthread.configuration._fold import record_digest
@@ -6,17 +6,17 @@
 from siskinthread.configuration._reading import Condition
 
 
-class Derived:
-    """What one read of a source gave.
+class SourceReading:
+    """Result of one read of a source.
 
     Parameters
     ----------
     records : list of LogRecord
-        Consecutive records that were folded.
+        Consecutive records that were read.
     entries : list of Entry
-        Events among them, in the order of their offsets.
+        Entries derived from the records, in the order of their offsets.
     trouble : str
-        Why the source can't be followed; empty if it can.
+        Reason why the source can't be followed; empty if it can.
     """
 
     __slots__ = ("entries", "records", "trouble")
@@ -28,7 +28,7 @@
 
 
 class ConfigurationSource:
-    """Configuration changes, accepted and rejected, from their own stream.
+    """Accepted and rejected changes of the configuration stream.
 
     Parameters
     ----------
@@ -43,16 +43,16 @@
     kind = Kind.CONFIGURATION
 
     def __init__(self, client, stream):
-        # The whole history, since rejected records are in no snapshot.
+        # Reads the whole history, as snapshots don't contain rejected records.
         self._reader = LogReader(client, stream, whole_history=True)
 
     async def read_on(self):
-        """Read what is new; return it as `Derived`.
+        """Read the new records; return them as a `SourceReading`.
 
         Raises
         ------
         PlatformUnavailableError
-            If the log gave no answer.
+            If the log does not answer.
         """
         reading = await self._reader.catch_up()
         entries = [
@@ -63,4 +63,4 @@
         if reading.condition is not Condition.GOOD:
             trouble = f"{reading.condition}: {reading.detail}"
         found = [entry for entry in entries if entry is not None]
-        return Derived(reading.records, found, trouble)
+        return SourceReading(reading.records, found, trouble)
--- a/siskinthread/audit/_trail.py
+++ b/siskinthread/audit/_trail.py
@@ -1,28 +1,33 @@
-"""The whole trail as one process knows it: archive and sources together."""
+"""View that one process has of the audit trail: archive and sources together."""
 
 import curio
 
-from siskinthread.audit._archive import Archive, order_of
+from siskinthread.audit._archive import Archive, sort_key
 from siskinthread.audit._entries import lost_entry
 from siskinthread.configuration._reading import Condition
 from siskinthread.ownership._tail import LogTail
 
-# Longer bodies are read in a thread: tens of milliseconds here would delay the
-# heartbeats of every connection of the process.
+# Longer bodies are decoded in a thread: tens of milliseconds on the event loop would
+# delay the heartbeats of every connection of the process.
 THREAD_BODY_BYTES = 16 * 1024
 
 
 class SourceState:
-    """What is known of one source.
+    """State of the reading of one source.
+
+    Parameters
+    ----------
+    source : ConfigurationSource or OwnershipSource
+        Source that is read.
 
     Attributes
     ----------
     entries : dict of str to Entry
-        Derived entries by id that are not known to be archived, oldest first.
+        SourceReading entries that are not archived yet, by id, oldest first.
     seen : int
-        Offset up to which this process has read it; -1 before.
+        Offset up to which this process has read the source; -1 before the first read.
     trouble : str
-        Why it can't be followed; empty if it can.
+        Reason why the source can't be followed; empty if it can.
     """
 
     __slots__ = ("entries", "seen", "source", "trouble")
@@ -44,27 +49,27 @@
     stream : str
         Name of the audit stream.
     sources : list
-        Such as `ConfigurationSource`.
+        Sources of events, such as `ConfigurationSource`.
     settings : AuditSettings
         Bounds of the archive.
 
     Attributes
     ----------
     archive : Archive
-        What the audit stream holds.
+        Entries of the audit stream.
     sources : list of SourceState
-        In the order given.
-    places_lost : bool
+        States of the sources, in the same order.
+    offsets_lost : bool
         Whether the last read found that the audit stream was shortened or rewritten.
     """
 
-    __slots__ = ("_tail", "archive", "places_lost", "sources")
+    __slots__ = ("_tail", "archive", "offsets_lost", "sources")
 
     def __init__(self, client, stream, sources, settings):
         self._tail = LogTail(client, stream)
         self.archive = Archive(settings)
         self.sources = [SourceState(source) for source in sources]
-        self.places_lost = False
+        self.offsets_lost = False
 
     async def read_on(self):
         """Read all streams to their ends.
@@ -79,7 +84,7 @@
         Raises
         ------
         PlatformUnavailableError
-            If the log gave no answer; what was read stays.
+            If the log does not answer; records that were read before are kept.
         """
         audit_records = await self._read_archive()
         derived = {}
@@ -93,17 +98,17 @@
         for state in self.sources:
             for event_id, entry in state.entries.items():
                 by_id.setdefault(event_id, entry)
-        return sorted(by_id.values(), key=order_of)
+        return sorted(by_id.values(), key=sort_key)
 
     async def _read_archive(self):
         records = []
-        self.places_lost = False
+        self.offsets_lost = False
         while True:
             reading = await self._tail.read_on()
             if reading.condition in (Condition.SHORTENED, Condition.REWRITTEN):
                 self._tail.restart()
-                self.archive.forget_places()
-                self.places_lost = True
+                self.archive.forget_offsets()
+                self.offsets_lost = True
                 records = []
                 continue
             for record in reading.records:
@@ -132,8 +137,8 @@
         return derived.records
 
     def _note_lost(self, state, first):
-        # Nobody archived in time, for a whole retention.  Without this the trail would
-        # look as if nothing had happened meanwhile.
+        # Records expired as no process archived them within the retention.  The entry
+        # distinguishes the gap from a time without changes.
         kind = state.source.kind
         known = max(state.seen, self.archive.through.get(kind, -1))
         if first.offset > known + 1:
--- a/siskinthread/audit/tests/days.py
+++ b/siskinthread/audit/tests/days.py
@@ -1,17 +1,17 @@
-"""Days of publications and archivers, on a log that forgets."""
+"""Simulation of days of changes and archivers, on a log with a retention of a day."""
 
 import random
 
 import curio
 
 from siskinthread.audit import (
+    AppendLimiter,
     Archiver,
     AuditQuery,
     AuditSettings,
     ConfigurationSource,
     Kind,
     OwnershipSource,
-    Pace,
 )
 from siskinthread.audit._operators import read_answer
 from siskinthread.configuration import ConfigurationSettings
@@ -28,7 +28,7 @@
 
 
 class Publications:
-    """Publishes changes into the configuration stream, and snapshots of its fold."""
+    """Appends changes and snapshots to the configuration stream."""
 
     def __init__(self, logs):
         self.logs = logs
@@ -36,14 +36,14 @@
         self.offsets = []
 
     def change(self, expected_version=None):
-        """Publish a change."""
+        """Append a change, by default on top of the current version."""
         version = self.fold.state.version
         expected = version if expected_version is None else expected_version
         name = f"c{len(self.offsets) + 1}"
         self.offsets.append(self._put(body(name, expected, [host(name)])))
 
     def snapshot(self):
-        """Append a snapshot."""
+        """Append a snapshot of the current state."""
         for part in encode_snapshot(self.fold, 256 * 1024):
             self._put(part)
 
@@ -54,7 +54,7 @@
 
 
 def archiver(logs, seed, settings=None, is_writer=True):
-    """Return an `Archiver` of its own process."""
+    """Return an `Archiver` like that of a separate process."""
     settings = settings or AuditSettings()
     rng = random.Random(seed)
     sources = [
@@ -67,7 +67,7 @@
         ConfigurationSettings(),
         settings,
         sources,
-        Pace(settings, logs.clock, rng),
+        AppendLimiter(settings, logs.clock, rng),
         lambda: is_writer,
         logs.clock,
         Metrics(),
@@ -75,12 +75,12 @@
     )
 
 
-def live(logs, archivers, publications, days):
-    """Let days pass, with a change an hour and snapshots of the configuration."""
-    curio.run(_live, logs, archivers, publications, days)
+def run_days(logs, archivers, publications, days):
+    """Simulate days with a change each hour and a snapshot every 6 h."""
+    curio.run(_run_days, logs, archivers, publications, days)
 
 
-async def _live(logs, archivers, publications, days):
+async def _run_days(logs, archivers, publications, days):
     for hour in range(round(days * 24)):
         publications.change()
         if hour % 6 == 0:
@@ -92,8 +92,8 @@
                 await each.step()
 
 
-def trail(logs, query=EVERYTHING):
-    """Return the entries that an operator sees."""
+def read_entries(logs, query=EVERYTHING):
+    """Return the entries that an operator's query returns."""
     return curio.run(read_answer, logs, "configuration", query).entries
 
 
--- a/siskinthread/audit/tests/test_bounds.py
+++ b/siskinthread/audit/tests/test_bounds.py
@@ -4,10 +4,10 @@
 
 import curio
 
-from siskinthread.audit import AuditSettings, Kind, map_entry, Pace, Recorder
+from siskinthread.audit import AppendLimiter, AuditSettings, Kind, map_entry, Recorder
 from siskinthread.audit._archive import Archive
 from siskinthread.audit._pages import encode_page, Page
-from siskinthread.audit.tests.days import trail
+from siskinthread.audit.tests.days import read_entries
 from siskinthread.experts import ChangeResult
 from siskinthread.observability import Metrics
 from siskinthread.ownership.tests.fakes import FakeLogs
@@ -16,33 +16,33 @@
 
 
 def test_full_buffer_says_how_many_events_it_dropped():
-    """Symptom: expert maps changed during an outage, and nothing tells of it.
+    """Guards against events that are dropped in an outage without trace in the trail.
 
-    Events: 25 changes while the log is down, with a buffer of 10; then the log's first
-    answer is lost; then another outage with 12 changes.  Cause: a bounded buffer that
-    drops silently, or counts of drops that a repeated append adds twice.
+    25 changes occur while the log is down, with a buffer of 10; then an answer of the
+    log is lost, and 12 changes occur in another outage.  It fails if a full buffer
+    drops silently, or if a repeated append counts dropped events twice.
     """
     logs = FakeLogs(ManualClock())
     settings = AuditSettings(buffer_limit=10)
-    pace = Pace(settings, logs.clock, random.Random(1))
+    limiter = AppendLimiter(settings, logs.clock, random.Random(1))
     recorder = Recorder(
-        logs, "audit", settings, pace, "h1", "i1", logs.clock, Metrics()
+        logs, "audit", settings, limiter, "h1", "i1", logs.clock, Metrics()
     )
     change_maps_in_outage(logs, recorder, range(25))
     logs.streams["audit"].lose_answers = 1
     flush_for(recorder, logs.clock, 120)
     change_maps_in_outage(logs, recorder, range(25, 37))
     flush_for(recorder, logs.clock, 120)
-    entries = trail(logs)
+    entries = read_entries(logs)
     maps = [entry.before for entry in entries if entry.kind is Kind.EXPERT_MAP]
-    told = [entry.what.split()[0] for entry in entries if entry.kind is Kind.LOST]
+    reported = [entry.what.split()[0] for entry in entries if entry.kind is Kind.LOST]
     assert sorted(maps) == [*range(10), *range(25, 35)]
-    assert told == ["15", "17"]
+    assert reported == ["15", "17"]
     assert recorder.pending() == 0
 
 
 def change_maps_in_outage(logs, recorder, versions):
-    """Record changes while the log is down, one in 30 s."""
+    """Record a change every 30 s while the log is down."""
     logs.down = True
     for version in versions:
         now_ms = logs.clock.unix_ms()
@@ -65,20 +65,22 @@
 
 
 def test_all_processes_together_append_at_a_bounded_rate():
-    """Symptom: a thousand processes flood the log when all see one event.
+    """Guards against an overload of the log when all processes see the same event.
 
-    Events: 1,010 processes have something to write from one moment on, all the time.
-    Computed: 1,010 processes / 20 s = 50.5 appends a second in the mean.
+    1,010 processes have an append pending at all times, from the same moment on.  The
+    limit is 1,010 processes / 20 s = 50.5 appends per second on average.
     """
     settings = AuditSettings()
     clock = ManualClock()
-    paces = [Pace(settings, clock, random.Random(seed)) for seed in range(1010)]
+    limiters = [
+        AppendLimiter(settings, clock, random.Random(seed)) for seed in range(1010)
+    ]
     counts = []
     for _ in range(120):
         count = 0
-        for pace in paces:
-            if pace.ready():
-                pace.spend()
+        for limiter in limiters:
+            if limiter.ready():
+                limiter.note_append()
                 count += 1
         counts.append(count)
         clock.advance(1.0)
@@ -91,7 +93,7 @@
 
 
 def test_bounds_drop_the_oldest_but_not_all_after_a_jump_of_the_clock():
-    """Age drops entries only beyond a number of newest ones; bytes drop always."""
+    """The age limit spares the newest entries; the size limit applies to all."""
     settings = AuditSettings(keep_days=1.0, keep_entries=5, keep_limit_bytes=4096)
     archive = Archive(settings)
     entries = [
@@ -107,7 +109,7 @@
 
 
 def test_unreadable_pages_and_entries_cost_nothing_else():
-    """A page of a newer program hides neither other pages nor its readable entries."""
+    """Undecodable pages and entries hide no other page and no other entry of a page."""
     archive = Archive(AuditSettings())
     entry = map_entry("g", "h", 1, 1, 2, ChangeResult.CHANGED, 5)
     newer = encode_page(Page([entry])).replace(b'"entries":[', b'"entries":[{"id":1},')
--- a/siskinthread/audit/tests/test_command.py
+++ b/siskinthread/audit/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The operators' command."""
+"""Tests of the audit command of operators."""
 
 import pytest
 
@@ -19,12 +19,12 @@
     ],
 )
 def test_since_is_an_age_or_a_time(text, expected_ms):
-    """An operator writes an age or an ISO time, UTC unless it says otherwise."""
+    """``--since`` is an age or an ISO time, in UTC if it has no time zone."""
     assert parse_since(text, 100_000_000) == expected_ms
 
 
 def test_command_shows_and_filters(monkeypatch, capsys):
-    """The command prints what matches; a wrong time is wrong usage."""
+    """The command prints matching entries; an invalid time is a usage error."""
     logs = FakeLogs(ManualClock())
     publications = Publications(logs)
     publications.change()
--- a/siskinthread/audit/tests/test_trail.py
+++ b/siskinthread/audit/tests/test_trail.py
@@ -1,12 +1,12 @@
-"""The trail over days: derived, archived, re-appended, and what is lost is told."""
+"""Tests of the trail over days: entries are derived, archived and appended again."""
 
 from siskinthread.audit import Kind
 from siskinthread.audit.tests.days import (
     archiver,
-    live,
     offsets,
     Publications,
-    trail,
+    read_entries,
+    run_days,
 )
 from siskinthread.ownership._records import Claim, encode_claim
 from siskinthread.ownership.tests.fakes import FakeLogs
@@ -14,7 +14,7 @@
 
 
 def test_entries_say_who_what_from_and_to():
-    """Accepted, conflicting and unreadable records are events; snapshots aren't."""
+    """Accepted, conflicting and undecodable records have entries; snapshots don't."""
     logs = FakeLogs(ManualClock())
     publications = Publications(logs)
     publications.change()
@@ -24,7 +24,7 @@
     logs.put("ownership", encode_claim(Claim("g", "h1", "i1", -1)))
     shown = [
         (entry.kind, entry.offset, entry.outcome, entry.who, entry.before, entry.after)
-        for entry in trail(logs)
+        for entry in read_entries(logs)
     ]
     assert sorted(shown) == [
         ("configuration", 0, "accepted", "ada", -1, 0),
@@ -35,15 +35,15 @@
 
 
 def test_trail_outlives_the_retention_of_all_streams():
-    """Symptom: a change of last week is in no trail.
+    """Guards against entries that disappear from the trail when the log expires them.
 
-    Events: three days pass with a log that keeps one; three processes archive.  Cause:
-    entries that nobody copied, or copies that nobody copied again before they expired.
+    Three processes archive for three days on a log with a retention of one day.  It
+    fails if entries are not copied, or copies not copied again, before they expire.
     """
     logs = FakeLogs(ManualClock())
     publications = Publications(logs)
-    live(logs, [archiver(logs, seed) for seed in range(3)], publications, days=3)
-    entries = trail(logs)
+    run_days(logs, [archiver(logs, seed) for seed in range(3)], publications, days=3)
+    entries = read_entries(logs)
     assert [entry.what.split(":")[0] for entry in entries] == [
         f"c{number}" for number in range(1, 73)
     ]
@@ -52,34 +52,34 @@
 
 
 def test_lost_answers_and_several_writers_show_each_event_once():
-    """Symptom: one change stands in the trail several times.
+    """Guards against duplicate entries in the trail.
 
-    Events: three processes archive and every answer of the log is lost.  Cause: ids
-    that depend on who writes.
+    Three processes archive and every answer of the log is lost, so that appends are
+    repeated.  It fails if the id of an entry depends on the process that writes it.
     """
     logs = FakeLogs(ManualClock())
     logs.streams["audit"].lose_answers = 1000
     publications = Publications(logs)
-    live(logs, [archiver(logs, seed) for seed in range(3)], publications, days=2)
-    assert offsets(trail(logs)) == publications.offsets
+    run_days(logs, [archiver(logs, seed) for seed in range(3)], publications, days=2)
+    assert offsets(read_entries(logs)) == publications.offsets
 
 
 def test_nobody_archived_for_longer_than_the_retention_is_told():
-    """Symptom: a trail with a hole that looks whole.
+    """Guards against a trail that hides a gap.
 
-    Events: archivers stop for two days.  Cause: records that expired unread.
+    No archiver runs for two days, so that records expire unread.
     """
     logs = FakeLogs(ManualClock())
     publications = Publications(logs)
-    live(logs, [archiver(logs, 1)], publications, days=1)
-    live(logs, [], publications, days=2)
-    assert_hole_is_told(trail(logs), publications)
-    live(logs, [archiver(logs, 2)], publications, days=2)
-    assert_hole_is_told(trail(logs), publications)
+    run_days(logs, [archiver(logs, 1)], publications, days=1)
+    run_days(logs, [], publications, days=2)
+    assert_gap_is_reported(read_entries(logs), publications)
+    run_days(logs, [archiver(logs, 2)], publications, days=2)
+    assert_gap_is_reported(read_entries(logs), publications)
 
 
-def assert_hole_is_told(entries, publications):
-    """Assert that one entry tells of all missing changes and of no others."""
+def assert_gap_is_reported(entries, publications):
+    """Assert that one entry reports exactly the missing changes."""
     (lost,) = [entry for entry in entries if entry.kind is Kind.LOST]
     first, last = map(int, lost.event_id.rpartition("/")[2].split("-"))
     assert first == 0
@@ -89,19 +89,19 @@
 
 
 def test_shortened_audit_stream_is_written_again():
-    """Symptom: the trail of before a fault of the log is gone for good.
+    """Guards against the loss of the trail after a fault of the log.
 
-    Events: the audit stream loses all its records and is written on.  Cause: entries
-    taken for kept because they once were.
+    The audit stream loses all its records and then accepts appends again.  It fails if
+    entries still count as archived because they were in a lost record.
     """
     logs = FakeLogs(ManualClock())
     publications = Publications(logs)
     archivers = [archiver(logs, 1)]
-    live(logs, archivers, publications, days=2)
+    run_days(logs, archivers, publications, days=2)
     logs.streams["audit"].truncate(logs.streams["audit"].first_offset)
     logs.appends.clear()
-    # Soon, and not when the next copy would have been due anyway: this process may be
-    # replaced before that.
-    live(logs, archivers, publications, days=2 / 24)
-    assert len(logs.appends) <= 2, "the same is written again and again"
-    assert offsets(trail(logs)) == publications.offsets
+    # The entries must be appended within hours, not at the next regular copy: the
+    # process may be replaced before that.
+    run_days(logs, archivers, publications, days=2 / 24)
+    assert len(logs.appends) <= 2, "the same entries are appended repeatedly"
+    assert offsets(read_entries(logs)) == publications.offsets
--- a/siskinthread/daemons/_audit_duties.py
+++ b/siskinthread/daemons/_audit_duties.py
@@ -3,10 +3,10 @@
 import random as random_module
 
 from siskinthread.audit import (
+    AppendLimiter,
     Archiver,
     ConfigurationSource,
     OwnershipSource,
-    Pace,
     Recorder,
 )
 from siskinthread.configuration import chosen_readers
@@ -46,12 +46,12 @@
         platform = settings.platform
         # The recorder and the archiver share one rate limit: the bound on the appends
         # of the fleet counts each process once.
-        pace = Pace(settings.audit, clock, random_module.Random())
+        limiter = AppendLimiter(settings.audit, clock, random_module.Random())
         self.recorder = Recorder(
             client,
             platform.audit_stream,
             settings.audit,
-            pace,
+            limiter,
             identity.host,
             identity.incarnation,
             clock,
@@ -66,7 +66,7 @@
                 ConfigurationSource(client, platform.configuration_stream),
                 OwnershipSource(client, platform.ownership_stream),
             ],
-            pace,
+            limiter,
             self.is_archiver,
             clock,
             metrics,
