--- a/siskinthread/measurement/__init__.py
+++ b/siskinthread/measurement/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that the requirements name."""
+"""Measurements of cost, capacity and quality of decisions."""
--- a/siskinthread/measurement/_checkout.py
+++ b/siskinthread/measurement/_checkout.py
@@ -1,4 +1,4 @@
-"""Finds the checkout whose stand-ins and scripts some measurements need."""
+"""Access to the stand-ins and scripts of the checkout, for some measurements."""
 
 import sys
 from pathlib import Path
@@ -12,22 +12,22 @@
 def use_checkout(root=None):
     """Make the stand-ins and scripts of the checkout importable.
 
-    They are not installed with the package, since no daemon needs them.
+    They are not part of the installed package, as no daemon needs them.
 
     Parameters
     ----------
     root : pathlib.Path or None
-        Folder to look in; None for the one that the package lies in.
+        Root folder of the checkout; None for the folder that contains the package.
 
     Returns
     -------
     pathlib.Path
-        The checkout.
+        Root folder of the checkout.
 
     Raises
     ------
     MeasurementError
-        If the package does not lie in a checkout.
+        If the folder is not a checkout.
     """
     root = root or Path(siskinthread.__file__).resolve().parent.parent
     missing = [name for name in NEEDED_FOLDERS if not (root / name).is_dir()]
--- a/siskinthread/measurement/_control.py
+++ b/siskinthread/measurement/_control.py
@@ -1,6 +1,7 @@
-"""What control costs and how soon a change is in force everywhere, by number of nodes.
+"""Cost of control and propagation time of changes, by number of nodes.
 
-``python -m siskinthread.measurement._control`` prints it; ``--json`` as one object.
+``python -m siskinthread.measurement._control`` prints the result; with ``--json`` on
+one line.
 """
 
 import argparse
@@ -15,34 +16,33 @@
 
 
 def measure_control(sizes=SIZES, heartbeat_interval_s=None, host_list_interval_s=None):
-    """Measure control with real nodes over loopback.
+    """Measure control with real nodes that communicate over loopback.
 
     Parameters
     ----------
     sizes : tuple of int
-        Numbers of nodes; each takes about a quarter of a minute.
+        Numbers of nodes to measure, about 15 s for each.
     heartbeat_interval_s, host_list_interval_s : float or None
-        In place of the daemons' defaults.
+        Intervals that replace the defaults of the daemons.
 
     Returns
     -------
     dict
-        Plain values for JSON: the figures of each size and the estimate at the size to
-        design for.
+        Values for JSON: the figures of each size, and the estimate at the design size.
 
     Raises
     ------
     MeasurementError
-        If the package does not lie in a checkout, or nodes did not come up in time.
+        If the package is not in a checkout, or the nodes do not start in time.
 
     Notes
     -----
-    Nodes run everything that a daemon runs but callers and targets, up to twenty in
-    each process; the platform's stand-ins run in this process.  A change is in force
-    sooner where each node has a core of its own.
+    A node runs a daemon without callers and targets.  Up to twenty nodes share a
+    process, and the stand-ins of the platform run in this process.  Changes take effect
+    faster where each node has a core of its own.
     """
     use_checkout()
-    # The checkout's stand-ins can be imported only now.
+    # Imports the stand-ins, which `use_checkout` makes importable.
     from siskinthread.measurement._control_run import run_size
 
     intervals_s = (heartbeat_interval_s, host_list_interval_s)
@@ -50,7 +50,7 @@
 
 
 def main():
-    """Print the measurement."""
+    """Run the measurement and print its result."""
     parser = argparse.ArgumentParser(description="measure the cost of control")
     parser.add_argument("--json", action="store_true", help="print one JSON object")
     parser.add_argument("--sizes", default=",".join(map(str, SIZES)))
--- a/siskinthread/measurement/_control_counting.py
+++ b/siskinthread/measurement/_control_counting.py
@@ -1,4 +1,4 @@
-"""Counts the bytes that a process moves over its sockets, by the service beyond."""
+"""Counts of the bytes that a process sends and receives, by remote service."""
 
 import collections
 
@@ -8,12 +8,12 @@
 
 
 class ByteCounts:
-    """Bytes in both directions over all sockets of the process.
+    """Counts of the bytes over all sockets of the process, by remote service.
 
     Parameters
     ----------
     services : dict of int to str
-        Name of a service by its TCP port; every other port is a peer's.
+        Name of each service by its TCP port; any other port belongs to a peer.
 
     Attributes
     ----------
@@ -22,8 +22,8 @@
 
     Notes
     -----
-    It replaces two methods of curio's sockets for the whole process, so it belongs in a
-    process that only measures.
+    `install` replaces two methods of the socket class of curio for the whole process,
+    so it is for processes that only measure.
     """
 
     def __init__(self, services):
@@ -32,7 +32,7 @@
         self.received_bytes = collections.Counter()
 
     def install(self):
-        """Count from now on."""
+        """Start to count."""
         receive, send_all = Socket.recv, Socket.sendall
 
         async def counted_receive(socket, *arguments):
@@ -48,7 +48,7 @@
         Socket.sendall = counted_send_all
 
     def total(self):
-        """Return the dict of bytes in both directions by service."""
+        """Return a dict of the sum of bytes in both directions, by service."""
         return dict(self.sent_bytes + self.received_bytes)
 
     def _service(self, socket):
--- a/siskinthread/measurement/_control_figures.py
+++ b/siskinthread/measurement/_control_figures.py
@@ -1,4 +1,4 @@
-"""Figures of the measurement of control, and straight lines through them."""
+"""Figures of the measurement of control, and linear fits to them."""
 
 import numpy as np
 
@@ -10,9 +10,9 @@
 MILLISECONDS_PER_SECOND = 1000
 SUBSET_SIZE = RoutingSettings().subset_size
 TARGET_LINKS = {"entry": SUBSET_SIZE, "agent": round(410 * SUBSET_SIZE / 600, 1)}
-"""Links of each node at the size to design for: 410 entries and 600 agents."""
-LEAST_SIZES = 3
-"""Sizes without which the parts of links and of the host list can't be told apart."""
+"""Links of each node at the design size of 410 entries and 600 agents."""
+MIN_SIZE_COUNT = 3
+"""Minimum number of sizes to separate the costs of links and of the host list."""
 
 LIMITS = {
     "in_force_max_s": 12.0,
@@ -23,16 +23,16 @@
 
 
 def figures_of(sizes):
-    """Return the plain dict of all sizes and the estimate.
+    """Return a dict for JSON with the figures of all sizes and the estimate.
 
     Parameters
     ----------
     sizes : list of SizeFigures
-        In rising order.
+        Figures by ascending number of nodes.
     """
     measured = [_size_dict(figures) for figures in sizes]
     result = {"sizes": measured, "limits": LIMITS}
-    if len(measured) >= LEAST_SIZES:
+    if len(measured) >= MIN_SIZE_COUNT:
         result["estimate"] = _estimate(measured)
     return result
 
@@ -42,9 +42,9 @@
     return {
         "size": figures.size,
         "changes": len(delays_s),
-        "in_force_p50_s": _rounded(np.percentile(delays_s, 50)),
-        "in_force_p99_s": _rounded(np.percentile(delays_s, 99)),
-        "in_force_max_s": _rounded(delays_s.max()),
+        "in_force_p50_s": _round(np.percentile(delays_s, 50)),
+        "in_force_p99_s": _round(np.percentile(delays_s, 99)),
+        "in_force_max_s": _round(delays_s.max()),
         "roles": {
             role: _role_dict(
                 [item for item in figures.workers if item[0].role == role],
@@ -72,15 +72,15 @@
         "rest_bytes_per_s": {name: round(rate, 1) for name, rate in rates.items()},
         "bytes_per_change": round(bytes_per_change),
         "bytes_per_s": round(sum(rates.values()) + bytes_per_change * CHANGES_PER_S, 1),
-        "rest_core_share": _rounded(core_share),
-        "cpu_ms_per_change": _rounded(cpu_s_per_change * 1000),
-        "core_share": _rounded(core_share + cpu_s_per_change * CHANGES_PER_S),
-        "memory_mb": _rounded(_memory_mb(workers)),
+        "rest_core_share": _round(core_share),
+        "cpu_ms_per_change": _round(cpu_s_per_change * 1000),
+        "core_share": _round(core_share + cpu_s_per_change * CHANGES_PER_S),
+        "memory_mb": _round(_memory_mb(workers)),
     }
 
 
 def _memory_mb(workers):
-    """Return what a process with one node would hold."""
+    """Return the resident memory of a process with one node, in MB."""
     process_mb = _mean([item[1].usage.resident_bytes for item in workers])
     grown = sum(
         item[4].usage.resident_bytes - item[1].usage.resident_bytes for item in workers
@@ -110,7 +110,7 @@
     sizes = [item["size"] for item in measured]
     estimate = {"size": TARGET_SIZE}
     for name in ("in_force_p99_s", "in_force_max_s"):
-        estimate[name] = _line(sizes, [item[name] for item in measured])
+        estimate[name] = _extrapolate(sizes, [item[name] for item in measured])
     for role, links in TARGET_LINKS.items():
         roles = [item["roles"][role] for item in measured]
         estimate[role] = _role_estimate(sizes, roles, links)
@@ -122,22 +122,24 @@
     links = [role["links"] for role in roles]
     rates = [role["rest_bytes_per_s"] for role in roles]
     rest = {
-        "peers": _line(links, [rate["peers"] for rate in rates], target_links),
-        "host_list": _line(sizes, [rate["host_list"] for rate in rates]),
-        # The share of the nodes that read the log falls as there are more.
+        "peers": _extrapolate(links, [rate["peers"] for rate in rates], target_links),
+        "host_list": _extrapolate(sizes, [rate["host_list"] for rate in rates]),
+        # Not extrapolated: a smaller share of the nodes reads the log in larger fleets.
         "log": rates[-1]["log"],
     }
     bytes_per_change = max(role["bytes_per_change"] for role in roles)
-    changes_core_share = _line(sizes, [role["cpu_ms_per_change"] for role in roles])
+    changes_core_share = _extrapolate(
+        sizes, [role["cpu_ms_per_change"] for role in roles]
+    )
     changes_core_share *= CHANGES_PER_S / MILLISECONDS_PER_SECOND
-    rest_core_share = _plane(sizes, links, roles, target_links)
+    rest_core_share = _estimate_rest_core_share(sizes, links, roles, target_links)
     return {
         "links": target_links,
         "rest_bytes_per_s": rest,
-        "bytes_per_s": _rounded(sum(rest.values()) + bytes_per_change * CHANGES_PER_S),
+        "bytes_per_s": _round(sum(rest.values()) + bytes_per_change * CHANGES_PER_S),
         "rest_core_share": rest_core_share,
-        "core_share": _rounded(rest_core_share + changes_core_share),
-        "memory_mb": _line(sizes, [role["memory_mb"] for role in roles]),
+        "core_share": _round(rest_core_share + changes_core_share),
+        "memory_mb": _extrapolate(sizes, [role["memory_mb"] for role in roles]),
     }
 
 
@@ -149,27 +151,27 @@
     return fits
 
 
-def _line(places, values, target=TARGET_SIZE):
-    """Return the value at a place on the straight line through others."""
-    slope, base = np.polyfit(places, values, 1)
-    return _rounded(base + slope * target)
+def _extrapolate(positions, values, target=TARGET_SIZE):
+    """Return the value at `target` of the linear fit to values at positions."""
+    slope, base = np.polyfit(positions, values, 1)
+    return _round(base + slope * target)
 
 
-def _plane(sizes, links, roles, target_links):
-    """Return the share of a core at rest, of which links and host list have a part."""
+def _estimate_rest_core_share(sizes, links, roles, target_links):
+    """Return the idle core share at the target, fitted to links and list length."""
     shares = [role["rest_core_share"] for role in roles]
     rows = np.column_stack([np.ones(len(sizes)), links, sizes])
     costs = np.linalg.lstsq(rows, shares, rcond=None)[0]
     if costs[2] < 0:
-        # A longer host list can't save time; the noise of a busy machine was larger
-        # than its cost, which the line in links leaves out.
-        return _line(links, shares, target_links)
-    return _rounded(costs @ (1.0, target_links, TARGET_SIZE))
+        # A longer host list can't reduce the cost: a negative coefficient is noise of a
+        # busy machine, so the fit is to the number of links only.
+        return _extrapolate(links, shares, target_links)
+    return _round(costs @ (1.0, target_links, TARGET_SIZE))
 
 
 def _mean(values):
     return sum(values) / len(values)
 
 
-def _rounded(value):
+def _round(value):
     return round(float(value), 5)
--- a/siskinthread/measurement/_control_node.py
+++ b/siskinthread/measurement/_control_node.py
@@ -1,4 +1,4 @@
-"""A node whose control is measured: all of a daemon but callers and targets."""
+"""Node for the measurement of control: a daemon without callers and targets."""
 
 import time
 
@@ -29,14 +29,14 @@
 
 
 class NodeSettings:
-    """The sections of a daemon's settings that control needs.
+    """Sections of the settings of a daemon that control needs.
 
     Parameters
     ----------
     log_port, host_list_port : int
-        Where the platform's stand-ins listen.
+        Ports of the stand-ins of the platform.
     heartbeat_interval_s, host_list_interval_s : float or None
-        In place of the defaults.
+        Intervals that replace the defaults.
     """
 
     __slots__ = ("configuration", "membership", "peers", "platform", "routing")
@@ -51,45 +51,45 @@
         self.platform = PlatformSettings(
             log=Address(LOOPBACK, log_port),
             host_list=Address(LOOPBACK, host_list_port),
-            **_given(host_list_interval_s=host_list_interval_s),
+            **_without_none(host_list_interval_s=host_list_interval_s),
         )
         self.configuration = ConfigurationSettings()
         self.membership = MembershipSettings()
         self.routing = RoutingSettings()
         self.peers = PeerSettings(
             keys=KeyList([Key("measurement", "shared secret")]),
-            **_given(heartbeat_interval_s=heartbeat_interval_s),
+            **_without_none(heartbeat_interval_s=heartbeat_interval_s),
         )
 
 
-def _given(**values):
+def _without_none(**values):
     return {name: value for name, value in values.items() if value is not None}
 
 
 class IdleTarget:
-    """A target without work."""
+    """Target without requests."""
 
     async def fetch_load(self):
-        """Return the load of an idle target."""
+        """Return a `TargetLoad` without running and waiting requests."""
         return TargetLoad(0, 0, 8, 0)
 
 
 class ControlledNode:
-    """What both roles have in common.
+    """Base class of the nodes of both roles.
 
     Parameters
     ----------
     host, failure_domain : str
-        Of the node.
+        Host name and failure domain of the node.
     role : str
         "entry" or "agent".
     settings : NodeSettings
-        Its settings.
+        Settings of the node.
 
     Attributes
     ----------
     advances : list of tuple
-        Each version that was put in force, and when, monotonic seconds.
+        Each version that came into force, with its time in monotonic seconds.
     """
 
     def __init__(self, host, failure_domain, role, settings):
@@ -128,7 +128,7 @@
 
 
 class ControlledAgent(ControlledNode):
-    """An agent before an idle target."""
+    """Agent with an idle target."""
 
     def __init__(self, host, failure_domain, settings):
         super().__init__(host, failure_domain, AGENT, settings)
@@ -156,7 +156,7 @@
 
 
 class ControlledEntry(ControlledNode):
-    """An entry without callers."""
+    """Entry without callers."""
 
     def __init__(self, host, failure_domain, settings):
         super().__init__(host, failure_domain, ENTRY, settings)
--- a/siskinthread/measurement/_control_run.py
+++ b/siskinthread/measurement/_control_run.py
@@ -1,6 +1,7 @@
-"""One size of the measurement of control: the platform here, the nodes in workers.
+"""Measurement of control at one size, with nodes in worker processes.
 
-It needs the checkout's stand-ins; see `siskinthread.measurement._checkout`.
+The stand-ins of the platform run in this process; they are imported from the checkout,
+see `siskinthread.measurement._checkout`.
 """
 
 import argparse
@@ -39,20 +40,20 @@
 REST_S = 4.0
 START_LIMIT_S = 40.0
 LAST_CHANGE_LIMIT_S = 12.0
-LOOK_INTERVAL_S = 0.1
+POLL_INTERVAL_S = 0.1
 LOG_OPTIONS = argparse.Namespace(
     keep_records=100_000, keep_age_s=86_400.0, appends_per_s=400.0
 )
 
 
 class HostList:
-    """The platform's host list."""
+    """Stand-in of the host list of the platform."""
 
     def __init__(self):
         self.body = b"[]"
 
     async def handle(self, request, exchange):
-        """Answer with the list, or that it is the same."""
+        """Answer with the list, or with status 304 if its tag matches."""
         tag = f'"{zlib.crc32(self.body)}"'
         unchanged = request.headers.get("if-none-match") == tag
         status, body = (304, b"") if unchanged else (200, self.body)
@@ -60,12 +61,12 @@
 
 
 class WorkerProcess:
-    """A worker process as this side sees it.
+    """Handle of a worker process.
 
     Attributes
     ----------
     role : str
-        Of all its nodes.
+        Role of all its nodes.
     hosts : list of tuple of str
         Host and failure domain of each node.
     """
@@ -80,7 +81,7 @@
         )
 
     async def begin(self, log_port, host_list_port, intervals_s):
-        """Hand over the order; return the lines of the host list."""
+        """Send the order of the worker; return the host-list entries of its nodes."""
         order = {
             "role": self.role,
             "hosts": self.hosts,
@@ -102,7 +103,7 @@
         ]
 
     async def ask(self, line):
-        """Send a line and return the value that answers it."""
+        """Send a command line and return the decoded answer."""
         await self._process.stdin.write(line.encode() + b"\n")
         await self._process.stdin.flush()
         answer = await self._process.stdout.readline()
@@ -115,13 +116,13 @@
         return read_usage(self._process.pid)
 
     async def end(self):
-        """End the process."""
+        """Terminate the process."""
         self._process.terminate()
         await self._process.wait()
 
 
 class Snapshot:
-    """What a worker had used and moved at one moment."""
+    """Resource usage and report of a worker at one time."""
 
     __slots__ = ("report", "usage")
 
@@ -131,17 +132,17 @@
 
 
 class SizeFigures:
-    """What one size gave.
+    """Raw figures of one size.
 
     Attributes
     ----------
     size : int
-        Nodes.
+        Number of nodes.
     delays_s : list of float
-        For each change the time from its append until it was in force everywhere.
+        Time from the append of each change until it is in force on all nodes.
     workers : list of tuple
-        Each `WorkerProcess` with its `Snapshot` before its nodes, before and after the
-        time at rest, and after the changes.
+        Each `WorkerProcess` with its `Snapshot` objects before its nodes start, before
+        and after the idle time, and after the changes.
     """
 
     __slots__ = ("delays_s", "size", "workers")
@@ -160,19 +161,19 @@
     size : int
         Number of nodes.
     intervals_s : tuple of float or None
-        Between heartbeats and between reads of the host list; None for the default.
+        Interval of heartbeats and of reads of the host list; None for the default.
 
     Raises
     ------
     MeasurementError
-        If the nodes did not come up, or a change did not arrive everywhere, in time.
+        If the nodes do not start, or a change is not in force on all nodes, in time.
     """
     log, hosts = LogStandin(LOG_OPTIONS), HostList()
     async with contextlib.AsyncExitStack() as cleanup:
         log_server = await cleanup.enter_async_context(HttpServer(log.handle))
         list_server = await cleanup.enter_async_context(HttpServer(hosts.handle))
         workers = []
-        for role, names in _placed(size):
+        for role, names in _assign_nodes(size):
             workers.append(WorkerProcess(role, names))
             cleanup.push_async_callback(workers[-1].end)
         await _append(log, _first_change(size))
@@ -209,8 +210,8 @@
         changed = Host(_host_name(AGENT, version % (size // 2)), {"step": str(version)})
         appended_at_s[version + 1] = time.monotonic()
         await _append(log, Change(f"c{version}", "ada", "", version, [changed], []))
-        # Changes are minutes apart in fact.  Closer ones would queue behind the work of
-        # earlier ones, since some fifty nodes share each process here.
+        # In operation, changes are minutes apart.  Without this wait, a change would
+        # queue behind the work on earlier changes, as many nodes share a process here.
         await _wait_for_version(workers, size, version + 1)
     return appended_at_s
 
@@ -220,7 +221,7 @@
     for worker in workers:
         for advances in await worker.ask("advances"):
             for version in appended_at_s:
-                # A later version that arrives in the same answer holds the earlier one.
+                # A later version that arrives in the same answer includes this one.
                 in_force_s = min(at_s for found, at_s in advances if found >= version)
                 latest_s[version] = max(latest_s[version], in_force_s)
     return [latest_s[version] - appended_at_s[version] for version in appended_at_s]
@@ -231,7 +232,7 @@
 
 
 async def _wait_until_up(workers, size):
-    """Wait until all nodes have the configuration and the links stand."""
+    """Wait until all nodes have the configuration and the link count is stable."""
     await _wait_for_version(workers, size, 0)
     links, before = None, -1
     async with curio.timeout_after(START_LIMIT_S):
@@ -247,7 +248,7 @@
     try:
         async with curio.timeout_after(limit_s):
             while await _count_at(workers, version) < size:
-                await curio.sleep(LOOK_INTERVAL_S)
+                await curio.sleep(POLL_INTERVAL_S)
     except curio.TaskTimeout as error:
         message = f"version {version} was not in force on {size} nodes in time"
         raise MeasurementError(message) from error
@@ -261,16 +262,16 @@
     return count
 
 
-def _placed(size):
+def _assign_nodes(size):
     entries = round(size * ENTRY_SHARE)
     for role, count in ((ENTRY, entries), (AGENT, size - entries)):
         names = [
             (_host_name(role, number), f"domain-{number % DOMAINS}")
             for number in range(count)
         ]
-        # The same number in each process at each size.  With more of them, a change
-        # would wait for the work of the others in the process, and the time until it's
-        # in force would rise with the size for that reason alone.
+        # The number of nodes in a process is the same at each size.  With more nodes, a
+        # change would wait for the other nodes of the process, and its propagation time
+        # would grow with the size for that reason alone.
         workers = -(-count // NODES_PER_WORKER)
         for worker in range(workers):
             yield role, names[worker::workers]
--- a/siskinthread/measurement/_control_worker.py
+++ b/siskinthread/measurement/_control_worker.py
@@ -1,9 +1,10 @@
-"""A process with several nodes of one role, told what to do over its standard input.
+"""Worker process with several nodes of one role, controlled over standard input.
 
 The first line is a JSON object with ``role``, ``hosts`` (pairs of host and failure
 domain), ``log_port``, ``host_list_port`` and ``intervals_s`` (of heartbeats and of the
-host list, null for the default); the answer is the ports.  After ``start``
-the nodes run; ``report`` and ``advances`` are answered with a JSON line each.
+host list, null for the default); the answer is the list of ports.  The command
+``start`` starts the nodes; ``report`` and ``advances`` query them.  Each answer is one
+line of JSON.
 """
 
 import json
@@ -18,12 +19,12 @@
 
 
 class Worker:
-    """The nodes of the process.
+    """Nodes of the process.
 
     Parameters
     ----------
     order : dict
-        The first line.
+        Decoded first line of the standard input.
     """
 
     def __init__(self, order):
@@ -69,7 +70,7 @@
 
 
 async def run():
-    """Serve commands until the standard input ends."""
+    """Answer commands until the standard input ends."""
     commands = FileStream(sys.stdin.buffer)
     worker = Worker(json.loads(await commands.readline()))
     _print(worker.ports())
--- a/siskinthread/measurement/_expert_report.py
+++ b/siskinthread/measurement/_expert_report.py
@@ -1,24 +1,24 @@
-"""Page with skew and moves of each policy against time, to open in a browser."""
+"""HTML page with the skew and moves of each policy over time."""
 
 from html import escape
 
 from siskinthread.measurement._svg_chart import Line, render_chart
 
 COLOURS = ("#7f7f7f", "#d62728", "#2ca02c", "#1f77b4", "#9467bd")
-"""One for each policy, in the order of the runs."""
+"""Colour of each policy, in the order of the runs."""
 
 STYLE = "body { font: 14px sans-serif; margin: 2em; max-width: 960px; }"
 
 
 def render_expert_report(seed, runs):
-    """Return a page of HTML that needs no other file.
+    """Return a self-contained HTML page.
 
     Parameters
     ----------
     seed : int
         Seed of the day.
     runs : list of PolicyRun
-        One for each policy.
+        Run of each policy.
 
     Returns
     -------
--- a/siskinthread/measurement/_expert_workload.py
+++ b/siskinthread/measurement/_expert_workload.py
@@ -1,8 +1,8 @@
-"""Seeded model of drifting expert popularity and of lock-step groups.
+"""Seeded model of drifting expert popularity and of groups that run in lock-step.
 
-Popularity follows a few kinds of fault, each with its own log-normal taste of experts.
-The mix of kinds turns over the day, single experts drift, now and then one kind bursts,
-and what is reported is a sample of the tokens, late and with gaps.
+Traffic is a mix of a few kinds of fault, each with its own log-normal popularity of
+experts.  The mix changes over the day, the popularity of single experts drifts, and
+bursts of one kind occur.  Reports are samples of the tokens, delayed and incomplete.
 """
 
 import numpy as np
@@ -11,30 +11,30 @@
 
 
 class WorkloadSettings:
-    """Size and unrest of a run.
+    """Size and variability of a workload.
 
     Parameters
     ----------
     rank_count, expert_count, slots_per_rank : int
-        Size of a layer.
+        Numbers of ranks, of experts and of slots on each rank, for one layer.
     interval_count : int
-        Intervals, spread evenly over a day.
+        Number of intervals, spread evenly over a day.
     spread : float
         Standard deviation of log popularity.
     drift : float
-        Standard deviation of its change in an interval.
+        Standard deviation of the change of log popularity in an interval.
     burst_share : float
-        Chance that a burst begins in an interval.
+        Probability that a burst begins in an interval.
     sampled_tokens : int
-        Tokens that the statistics of an interval rest on.
+        Number of tokens in the statistics of an interval.
     missing_share : float
-        Share of reports that get lost.
+        Share of reports that are lost.
     lag_intervals : int
-        Intervals until a report is seen.
+        Delay of a report, in intervals.
     slow_rank : int or None
-        A rank that becomes slow a third into the run.
+        Rank that is slow after the first third of the run.
     slow_factor : float
-        Its time relative to the usual.
+        Factor on the time of the slow rank.
     """
 
     __slots__ = (
@@ -70,16 +70,16 @@
 
 
 class Interval:
-    """What happens in one interval.
+    """True load and slowness in one interval.
 
     Parameters
     ----------
     minute : int
         Minute of the UTC day.
     expert_loads : numpy.ndarray
-        True tokens of each expert.
+        True tokens of each expert, shape (experts,).
     slowness : numpy.ndarray
-        True relative time of each rank for a token.
+        True relative time of each rank for a token, shape (ranks,).
     """
 
     __slots__ = ("expert_loads", "minute", "slowness")
@@ -96,18 +96,18 @@
     Parameters
     ----------
     settings : WorkloadSettings
-        Size and unrest.
+        Size and variability.
     random : numpy.random.Generator
-        Seeded.
+        Seeded generator.
     """
-    tastes = random.normal(
+    log_popularity = random.normal(
         0, settings.spread, (settings.kind_count, settings.expert_count)
     )
     phases = random.uniform(0, 2 * np.pi, settings.kind_count)
     burst_left, burst_kind = 0, 0
     intervals = []
     for index in range(settings.interval_count):
-        tastes += random.normal(0, settings.drift, tastes.shape)
+        log_popularity += random.normal(0, settings.drift, log_popularity.shape)
         angle = 2 * np.pi * index / settings.interval_count
         mix = 1.0 + 0.8 * np.cos(angle + phases)
         if burst_left == 0 and random.random() < settings.burst_share:
@@ -116,7 +116,7 @@
         if burst_left:
             burst_left -= 1
             mix[burst_kind] *= 3.0
-        popularity = (mix / mix.sum()) @ np.exp(tastes)
+        popularity = (mix / mix.sum()) @ np.exp(log_popularity)
         loads = popularity / popularity.sum() * settings.sampled_tokens
         minute = index * MINUTES_PER_DAY // settings.interval_count
         intervals.append(Interval(minute, loads, _slowness(settings, index)))
@@ -131,12 +131,12 @@
 
 
 def report(settings, interval, expert_map, random):
-    """Return what ranks report of an interval: expert tokens and rank times.
+    """Return the reports of the ranks on an interval: expert tokens and rank times.
 
     Returns
     -------
     tuple of numpy.ndarray
-        Tokens of each expert and time of each rank, NaN where the report got lost.
+        Tokens of each expert and time of each rank, NaN where the report is lost.
     """
     share = interval.expert_loads / interval.expert_loads.sum()
     tokens = random.multinomial(settings.sampled_tokens, share).astype(float)
--- a/siskinthread/measurement/_experts.py
+++ b/siskinthread/measurement/_experts.py
@@ -1,4 +1,4 @@
-"""Compares the planner of expert maps with its baselines on one seeded run."""
+"""Comparison of the planner of expert maps with baselines on seeded workloads."""
 
 import functools
 import json
@@ -27,7 +27,7 @@
 
 
 class StaticPolicy:
-    """Never changes the map."""
+    """Baseline that never changes the map."""
 
     name = "static"
 
@@ -37,7 +37,7 @@
 
 
 class RecomputationPolicy:
-    """Places the whole map anew in each interval."""
+    """Baseline that recomputes the whole map in each interval."""
 
     name = "full_recomputation"
 
@@ -47,7 +47,7 @@
 
 
 class OraclePolicy:
-    """Places the whole map anew, knowing the following interval."""
+    """Baseline that recomputes the map from the true loads of the next interval."""
 
     name = "oracle"
 
@@ -57,12 +57,12 @@
 
 
 class PlannerPolicy:
-    """The planner, with its processor time noted.
+    """The planner, with a record of its processor times and verdicts.
 
     Parameters
     ----------
     settings : PlannerSettings
-        The planner's settings.
+        Settings of the planner.
     objective : Objective
         Published weights.
     name : str
@@ -91,12 +91,12 @@
 
 
 class PolicyRun:
-    """Figures of one policy over one run, interval by interval.
+    """Figures of one policy over one run, for each interval.
 
     Parameters
     ----------
     policy : object
-        The policy that was run.
+        Policy of the run.
     """
 
     __slots__ = ("moves", "policy", "quiet_moves", "skews")
@@ -118,13 +118,13 @@
     Parameters
     ----------
     policy : object
-        With ``next_map``.
+        Policy with a method ``next_map``.
     workload : WorkloadSettings
         Size and unrest.
     seed : int
-        Equal seeds give every policy the same day.
+        Seed of the day; the same seed gives each policy the same day.
     quiet : Objective or None
-        Counts moves within its quiet windows.
+        Objective in whose quiet windows moves are counted; None to count none.
 
     Returns
     -------
@@ -184,7 +184,7 @@
 
 
 def figures(runs):
-    """Return the figures of the runs on one seed as plain values for JSON."""
+    """Return the figures of the runs on one seed as values for JSON."""
     by_name = {run.policy.name: run for run in runs}
     static = by_name["static"].mean_skew()
     full = by_name["full_recomputation"]
@@ -220,7 +220,7 @@
 
 
 def measure_experts(seeds):
-    """Return the figures of every policy for each seed, as plain values for JSON."""
+    """Return the figures of every policy for each seed as values for JSON."""
     return {str(seed): figures(compare(seed)) for seed in seeds}
 
 
--- a/siskinthread/measurement/_first_token.py
+++ b/siskinthread/measurement/_first_token.py
@@ -1,4 +1,4 @@
-"""Quantiles of the time to the first token, freed of the engines' phases."""
+"""Quantiles of the time to first token, corrected for the phases of engine steps."""
 
 import statistics
 
@@ -9,19 +9,20 @@
 
 
 def next_step_wait_s(sent_at_s, arrivals_s, step_s):
-    """Return how long a request waited for the step of its engine, seconds.
+    """Return the time that a request waited for the next step of its engine, seconds.
 
-    The earliest of the tokens after the first, each set back by the steps between,
-    shows when the engine made the first one, up to a constant delay.
+    Each token, shifted back by the steps since the first token, gives an estimate of
+    the time at which the engine generated the first token.  The earliest estimate is
+    used; it is exact up to a constant delay.
 
     Parameters
     ----------
     sent_at_s : float
-        When the request was sent, monotonic seconds.
+        Time at which the request was sent, monotonic seconds.
     arrivals_s : list of float
-        When tokens came, monotonic seconds.
+        Times at which tokens arrived, monotonic seconds.
     step_s : float
-        Step time, seconds.
+        Step time of the engine, seconds.
     """
     known = arrivals_s[:TOKENS_FOR_THE_PHASE]
     made_at_s = min(
@@ -31,20 +32,20 @@
 
 
 class FirstTokenSamples:
-    """Times to the first token of one level of load.
+    """Times to first token of one level of load.
 
-    A request that comes just after a step waits almost a whole step for its first
-    token, one that comes just before it almost none.  Which of the two happens how
-    often is chance, and it would hide the time that the path adds.  Each sample is
-    therefore weighted with the part of the step that its phase stands for, as if the
-    phases were spread evenly.
+    A request that arrives just after a step begins waits almost a whole step for its
+    first token; a request that arrives just before the next step hardly waits.  The
+    random distribution of these phases would hide the time that the path adds.  Each
+    sample is therefore weighted with the part of the step that its phase represents, as
+    if the phases were evenly distributed.
 
     Parameters
     ----------
     times_s : list of float
-        Times from the request to the first token, seconds.
+        Times to first token, seconds.
     waits_s : list of float
-        Of each, the wait for the engine's step, seconds.
+        Wait of each request for the next step of the engine, seconds.
     step_s : float
         Step time, seconds.
     """
@@ -67,8 +68,9 @@
     def quantile_error_s(self, share):
         """Return the standard error of a quantile in seconds.
 
-        Every fourth sample in the order of the phases makes a subset of its own; the
-        spread of the subsets' quantiles is at least twice that of the whole.
+        The samples, sorted by phase, are divided into four interleaved subsets.  The
+        standard deviation of their quantiles is at least twice that of the quantile of
+        all samples.
         """
         values = [
             self._quantile_s(share, slice(first, None, SUBSETS))
@@ -82,14 +84,14 @@
 
 
 def _phase_weights(waits_s, step_s):
-    """Return the part of the step that is nearer to each phase than to the others."""
+    """Return the length of the part of the step that is nearest to each phase."""
     after_s = np.diff(waits_s, append=waits_s[0] + step_s)
     before_s = np.roll(after_s, 1)
     return (after_s + before_s) / 2
 
 
 def _weighted_quantile(values, weights, share):
-    """Return a quantile, with each value in the middle of its weight."""
+    """Return a weighted quantile, with each value at the midpoint of its weight."""
     order = np.argsort(values)
     reached = np.cumsum(weights[order]) - weights[order] / 2
     return float(np.interp(share * weights.sum(), reached, values[order]))
--- a/siskinthread/measurement/_machine.py
+++ b/siskinthread/measurement/_machine.py
@@ -1,4 +1,4 @@
-"""How busy the machine is, so that figures of two runs can be compared."""
+"""Load of the machine, for the comparison of figures of different runs."""
 
 import os
 import statistics
@@ -12,16 +12,16 @@
 
 
 class MachineState:
-    """What a level of load found the machine like.
+    """State of the machine during a level of load.
 
     Attributes
     ----------
     load_average : float
         Mean number of running processes over the last minute.
     loop_us : float
-        Median processor time of one and the same loop, microseconds.  It rises when
-        other processes share the cores' execution units and caches, and the processor
-        times of everything else rise with it.
+        Median processor time of a fixed loop, microseconds.  It rises when other
+        processes share the execution units and caches of the cores, and with it the
+        processor times of all other code.
     """
 
     __slots__ = ("load_average", "loop_us")
@@ -31,7 +31,7 @@
         self.loop_us = loop_us
 
     def as_dict(self):
-        """Return the state, rounded, for JSON."""
+        """Return the rounded state as a dict for JSON."""
         return {
             "load_average": round(self.load_average, 2),
             "loop_us": round(self.loop_us, 1),
@@ -39,7 +39,7 @@
 
 
 async def watch_machine(end_s):
-    """Return the `MachineState` of the time until a monotonic time in seconds."""
+    """Sample until `end_s`, monotonic seconds, and return the `MachineState`."""
     times_us = [_loop_us()]
     while (left_s := end_s - time.monotonic()) > 0:
         await curio.sleep(min(left_s, SAMPLE_INTERVAL_S))
--- a/siskinthread/measurement/_path.py
+++ b/siskinthread/measurement/_path.py
@@ -1,4 +1,4 @@
-"""Measures what the path through entry and agent costs."""
+"""Measurement of the cost of the path through entry and agent."""
 
 import shutil
 import sys
@@ -11,15 +11,15 @@
 from siskinthread.measurement._checkout import use_checkout
 
 
-def measure_path(quick=False, say=None):
-    """Measure the path from callers over one entry to engines, on this machine.
+def measure_path(quick=False, on_progress=None):
+    """Measure the path from callers through one entry to engines, on this machine.
 
     Parameters
     ----------
     quick : bool
-        Whether to measure for about 50 s and fewer levels instead of two minutes.
-    say : callable or None
-        Takes a line on the progress; None prints it to the standard error.
+        Whether to measure fewer levels in about 50 s instead of two minutes.
+    on_progress : callable or None
+        Called with each line on the progress; None prints to standard error.
 
     Returns
     -------
@@ -28,11 +28,11 @@
     Raises
     ------
     MeasurementError
-        Outside a checkout of the repository, or if a process fails.
+        If the package is not in a checkout of the repository, or a process fails.
 
     Notes
     -----
-    The processes are started here and end with this call.
+    All processes are started by this call and end with it.
     """
     use_checkout()
     from scripts._processes import interruptible, Processes, StartError
@@ -42,7 +42,7 @@
     plan = QUICK_PLAN if quick else FULL_PLAN
     try:
         with interruptible(), Processes(folder) as processes:
-            run = PathRun(plan, processes, folder, say or _print_progress)
+            run = PathRun(plan, processes, folder, on_progress or _print_progress)
             report = curio.run(run.run)
     except StartError as error:
         raise MeasurementError(f"{error}; logs are kept in {folder}") from error
--- a/siskinthread/measurement/_path_figures.py
+++ b/siskinthread/measurement/_path_figures.py
@@ -8,27 +8,27 @@
 TAIL = 0.99
 
 DELIVERED_FLOOR = 0.98
-"""Part of the offered tokens that must arrive for the entry to keep up."""
+"""Minimum share of the offered tokens that arrives if the entry keeps up."""
 
 FIRST_TOKEN_LIMIT_MS = 150.0
-"""Bound on the 99th percentile of the first token for the entry to keep up: the step
-of the engines (78 ms), which a request may have to wait for, and 72 ms."""
+"""Limit on the 99th percentile of the time to first token if the entry keeps up: 72 ms
+in addition to the step of the engines (78 ms), which a request may wait for."""
 
 
 class RoleFigures:
-    """What the processes of a role used over the window of a level.
+    """Resource usage of the processes of a role over the window of a level.
 
     Attributes
     ----------
     count : int
         Number of processes.
     core_share : float
-        Mean share of a core of one process.
+        Mean share of a core that a process uses.
     wait_share : float
-        Mean share of the time that one was ready but got no core; on a busy machine
-        it explains delays that are not the system's.
+        Mean share of the time that a process is runnable but has no core; it explains
+        delays on a busy machine that the measured system does not cause.
     resident_bytes, peak_resident_bytes : float
-        Mean resident memory of one process at the end, and the highest of any.
+        Mean resident memory of a process at the end, and highest peak of any process.
     """
 
     __slots__ = (
@@ -60,20 +60,20 @@
 
 
 class LevelFigures:
-    """What one level of load came to.
+    """Figures of one level of load.
 
     Attributes
     ----------
     level : LoadLevel
-        The load.
+        Offered load.
     load : LoadFigures
-        What the callers saw.
+        Figures of the callers.
     made_tokens_per_s : float
-        Tokens that the engines made.
+        Rate of tokens that the engines generated.
     roles : dict of str to RoleFigures
-        By role.
+        Resource usage by role.
     machine : MachineState
-        What the machine was like meanwhile.
+        State of the machine during the level.
     """
 
     __slots__ = (
@@ -93,11 +93,11 @@
 
     @property
     def delivered_share(self):
-        """Tokens that arrived over the tokens offered."""
+        """Ratio of arrived to offered tokens."""
         return self.load.tokens_per_s / self.level.tokens_per_s
 
     def keeps_up(self):
-        """Return whether all tokens arrive, and the first of each in time."""
+        """Return whether the tokens arrive, and first tokens within the limit."""
         return (
             self.load.fault_count == 0
             and self.load.waiting_count == 0
@@ -121,16 +121,16 @@
 
 
 class LoadFigures:
-    """What all processes of callers saw together in one level.
+    """Figures of all caller processes together in one level.
 
     Parameters
     ----------
     results : list of LoadResult
-        Their results.
+        Results of the processes.
     samples : FirstTokenSamples
-        Their times to the first token.
+        Times to first token of all processes.
     window_s : float
-        Time that was measured, seconds.
+        Length of the measured window, seconds.
     """
 
     __slots__ = ("_results", "_samples", "_window_s")
@@ -150,21 +150,21 @@
 
     @property
     def tokens_per_s(self):
-        """Tokens that arrived a second."""
+        """Rate of arrived tokens."""
         return self._sum("token_count") / self._window_s
 
     @property
     def fault_count(self):
-        """Requests that failed or got a wrong byte."""
+        """Number of requests that failed or whose answer had wrong bytes."""
         return self._sum("wrong_count") + self._sum("failed_count")
 
     @property
     def waiting_count(self):
-        """Requests that had no token at the end."""
+        """Number of requests without a token at the end."""
         return self._sum("waiting_count")
 
     def first_token_ms(self, share):
-        """Return a quantile of the time to the first token, milliseconds."""
+        """Return a quantile of the time to first token, milliseconds."""
         return self._samples.quantile_s(share) * MILLISECONDS_PER_SECOND
 
     def first_token_error_ms(self, share):
--- a/siskinthread/measurement/_path_load.py
+++ b/siskinthread/measurement/_path_load.py
@@ -1,8 +1,8 @@
-"""One process of callers for the path measurement.
+"""Process that acts as callers in the path measurement.
 
 It is started as ``python -m siskinthread.measurement._path_load ORDER`` from a
 checkout, where ORDER is a `LoadOrder` in JSON, and writes a `LoadResult` in JSON to
-the file that the order names.
+the file ``result_path`` of the order.
 """
 
 import json
@@ -31,23 +31,23 @@
 STATUS_FINE = 200
 PROMPT_TEXT = "The barrier at the crossing stays down; water stands by the relay box. "
 PROMPT_REPEATS = 14
-"""Makes a prompt of about a thousand characters."""
+"""Number of repeats that give a prompt of about a thousand characters."""
 
 
 class LoadOrder:
-    """What a process of callers is told.
+    """Parameters of a caller process.
 
     Parameters
     ----------
     level : LoadLevel
-        The whole load.
+        Load of all caller processes together.
     part, parts : int
-        Which part of the requests this process sends, of how many.
+        Index of the part of the requests that this process sends, and number of parts.
     addresses : list
-        IP number and TCP port of each server; requests take them in turn.
+        IP number and TCP port of each server; requests use them in round-robin order.
     cancels : bool
-        Whether the servers are engines, which make an answer to its end unless told
-        that it is not wanted.
+        Whether to cancel unfinished requests.  It is needed if the servers are engines,
+        which otherwise generate each answer to its end.
     starts_at_s : float
         Start of the load, monotonic seconds.
     result_path : str
@@ -77,12 +77,12 @@
 
     @property
     def window_starts_at_s(self):
-        """When measuring begins, monotonic seconds."""
+        """Start of the measured window, monotonic seconds."""
         return self.starts_at_s + self.level.ramp_s
 
     @property
     def window_ends_at_s(self):
-        """When measuring and the load end, monotonic seconds."""
+        """End of the measured window and of the load, monotonic seconds."""
         return self.window_starts_at_s + self.level.window_s
 
     def requests(self):
@@ -90,37 +90,38 @@
         return schedule(self.level)[self.part :: self.parts]
 
     def to_json(self):
-        """Return the order as text."""
+        """Return the order encoded as JSON."""
         values = {name: getattr(self, name) for name in self.__slots__}
         level = {name: getattr(self.level, name) for name in self.level.__slots__}
         return json.dumps({**values, "level": level})
 
     @classmethod
     def from_json(cls, text):
-        """Return the order that a text holds."""
+        """Return the order that a JSON text encodes."""
         values = json.loads(text)
         return cls(**{**values, "level": LoadLevel(**values["level"])})
 
 
 class LoadResult:
-    """What a process of callers saw.
+    """Results of a caller process.
 
     Attributes
     ----------
     first_token_times_s, next_step_waits_s : list of float
-        For each arrival of the steady state that got a token, seconds.
+        Time to first token, and wait for the next step of the engine, of each arrival
+        of the steady state that got a token, seconds.
     whole_count, cut_count : int
-        Answers that came to their end, or that the end of the load cut.
+        Number of complete answers, and of answers cut off by the end of the load.
     wrong_count : int
-        Answers with a byte that is not the expected one, or whole but too short.
+        Number of answers with unexpected bytes, or that end too early.
     failed_count : int
-        Requests with another status than 200, or without a response.
+        Number of requests with a status other than 200, or without a response.
     waiting_count : int
-        Arrivals of the steady state that had no token at the end.
+        Number of arrivals of the steady state without a token at the end.
     token_count : int
-        Tokens that came within the window.
+        Number of tokens that arrived within the window.
     core_share : float
-        Share of a core that the process itself used.
+        Share of a core that the caller process used.
     """
 
     __slots__ = (
@@ -147,7 +148,7 @@
         self.core_share = 0.0
 
     def add(self, order, request, body, answer):
-        """Count an answer, after its bytes were checked."""
+        """Check the bytes of an answer and count it."""
         if answer.status is None and time.monotonic() >= order.window_ends_at_s:
             self.waiting_count += request.sampled
             return
@@ -167,12 +168,12 @@
         )
 
     def to_json(self):
-        """Return the result as text."""
+        """Return the result encoded as JSON."""
         return json.dumps({name: getattr(self, name) for name in self.__slots__})
 
     @classmethod
     def from_json(cls, text):
-        """Return the result that a text holds."""
+        """Return the result that a JSON text encodes."""
         result = cls()
         for name, value in json.loads(text).items():
             setattr(result, name, value)
@@ -191,10 +192,10 @@
 
 
 def _tokens_within(order, answer):
-    """Return the tokens of an answer that came within the window.
+    """Return the number of tokens of an answer that arrived within the window.
 
-    Several tokens that come in one piece, as they do once something is too slow, count
-    as evenly spread over the pieces of the answer.
+    Several tokens may arrive in one piece when a process is too slow, so the tokens
+    count as evenly distributed over the pieces of the answer.
     """
     arrivals_s = answer.arrivals_s
     if not arrivals_s:
@@ -208,12 +209,12 @@
 
 
 class LoadRun:
-    """Sends the requests of an order at their times.
+    """Sends the requests of an order at their scheduled times.
 
     Parameters
     ----------
     order : LoadOrder
-        What to send.
+        Requests to send, and their servers.
     """
 
     __slots__ = ("_idle", "_order", "_result")
@@ -224,7 +225,7 @@
         self._idle = {tuple(address): [] for address in order.addresses}
 
     async def run(self):
-        """Send all requests, wait for the end and return the `LoadResult`."""
+        """Send all requests, wait for their ends and return the `LoadResult`."""
         order = self._order
         usage = None
         async with curio.TaskGroup(wait=all) as group:
@@ -242,7 +243,7 @@
         address = tuple(order.addresses[request.number % len(order.addresses)])
         idle = self._idle[address]
         connection = idle.pop() if idle else CallerConnection(address)
-        body = _body(order, request)
+        body = _request_body(order, request)
         wait_s = max(0.0, order.window_ends_at_s - time.monotonic())
         request_id = f"{order.level.name}-{request.number}"
         headers = [*COMMON_HEADERS, ("x-request-id", request_id)]
@@ -254,7 +255,7 @@
         self._result.add(order, request, body, answer)
 
 
-def _body(order, request):
+def _request_body(order, request):
     prompt = f"{PROMPT_TEXT * PROMPT_REPEATS}{order.level.name} {request.number}"
     content = {
         "model": MODEL,
--- a/siskinthread/measurement/_path_report.py
+++ b/siskinthread/measurement/_path_report.py
@@ -1,4 +1,4 @@
-"""All figures of the path measurement, and the bounds that they are held against."""
+"""Report of the path measurement: figures and checks of their bounds."""
 
 from siskinthread.measurement._path_figures import (
     BYTES_PER_MB,
@@ -21,16 +21,16 @@
 
 
 class Check:
-    """One figure against its bound.
+    """Comparison of a figure with its bound.
 
     Attributes
     ----------
     name : str
         Name of the figure.
     value, bound : float
-        Both in the unit that the name states.
+        Figure and bound, in the unit of the name.
     met : bool
-        Whether the figure keeps the bound.
+        Whether the figure meets the bound.
     """
 
     __slots__ = ("bound", "met", "name", "value")
@@ -51,7 +51,7 @@
         return f"{self.name}: {self.value:.3f}, bound {self.bound:g}, {state}"
 
     def as_dict(self):
-        """Return the check, rounded, for JSON."""
+        """Return the rounded check as a dict for JSON."""
         return {"value": round(self.value, 3), "bound": self.bound, "met": self.met}
 
 
@@ -61,13 +61,13 @@
     Parameters
     ----------
     idle : dict of str to RoleFigures
-        By role, without requests.
+        Resource usage by role without requests.
     direct : LevelFigures
-        Callers at the engines themselves, at the plan's share.
+        Level at the share of the plan, with requests sent directly to the engines.
     short : LevelFigures
-        Many short answers.
+        Level with many short answers.
     multiples : list of LevelFigures
-        The plan's share and its multiples, in rising order.
+        Levels at the share of the plan and its multiples, in ascending order.
     """
 
     __slots__ = ("direct", "idle", "multiples", "short")
@@ -80,7 +80,7 @@
 
     @property
     def share(self):
-        """Figures at the plan's share of one entry host."""
+        """Figures at the share of one entry host in the plan."""
         return self.multiples[0]
 
     def added_ms(self, quantile):
@@ -122,13 +122,13 @@
         ]
 
     def holds(self):
-        """Return whether every figure keeps its bound."""
+        """Return whether every figure meets its bound."""
         return all(check.met for check in self.checks())
 
     def slopes(self, role):
         """Return the `Slopes` of one process of a role.
 
-        They are fitted to the levels that the entry kept up with.
+        The fit uses the levels at which the entry keeps up.
         """
         points = [
             (
@@ -141,7 +141,7 @@
         return fit_slopes(points, self.idle[role].core_share)
 
     def memory(self, role):
-        """Return the bytes of one process of a role without and for each stream."""
+        """Return the memory of a process of a role without streams, and per stream."""
         points = [
             (each.level.stream_count / each.roles[role].count, resident_bytes)
             for each in self._fitted_levels()
@@ -150,7 +150,7 @@
         return fit_memory([(0, self.idle[role].resident_bytes), *points])
 
     def as_dict(self):
-        """Return the report for JSON."""
+        """Return the report as a dict for JSON."""
         return {
             "checks": {check.name: check.as_dict() for check in self.checks()},
             "added_p50_error_ms": round(self.added_error_ms(MEDIAN), 2),
--- a/siskinthread/measurement/_path_run.py
+++ b/siskinthread/measurement/_path_run.py
@@ -1,6 +1,6 @@
-"""Runs the levels of load of the path measurement, with each role in processes.
+"""Run of the path measurement, with processes of each role.
 
-It needs the checkout's scripts; see `siskinthread.measurement._checkout`.
+It imports scripts of the checkout; see `siskinthread.measurement._checkout`.
 """
 
 import sys
@@ -41,22 +41,22 @@
 SETTLE_S = 1.0
 POLL_INTERVAL_S = 0.05
 IN_FLIGHT_LIMIT = 8000
-"""Above the streams of four shares, since shedding is not what is measured."""
+"""More than the streams of four shares, so that the entry does not shed load."""
 
 
 class PathPlan:
-    """How long the levels are measured.
+    """Levels of load and their durations.
 
     Parameters
     ----------
     multiples : tuple of int
-        Multiples of the plan's share, in rising order from 1.
+        Multiples of the share, in ascending order from 1.
     share_window_s : float
-        Time measured at the share, with and without the system, seconds.
+        Window at the share, both through the entry and directly, seconds.
     window_s : float
-        Time measured at the other levels, seconds.
+        Window at the other levels, seconds.
     idle_s : float
-        Time measured without requests, seconds.
+        Time without requests that is measured, seconds.
     """
 
     __slots__ = ("idle_s", "multiples", "share_window_s", "window_s")
@@ -68,11 +68,11 @@
         self.idle_s = idle_s
 
     def share_level(self, name):
-        """Return the level of the plan's share."""
+        """Return the level at the share."""
         return self._share_level(name, 1, self.share_window_s)
 
     def multiple_levels(self):
-        """Return the levels of the share's multiples."""
+        """Return the levels at the multiples of the share."""
         return [
             self.share_level("share")
             if multiple == 1
@@ -81,7 +81,7 @@
         ]
 
     def short_level(self):
-        """Return the level of many short answers, which tells requests from tokens."""
+        """Return the level of short answers, to separate request and token costs."""
         return LoadLevel(
             "short_answers",
             SHORT_REQUESTS_PER_S,
@@ -92,8 +92,8 @@
         )
 
     def _share_level(self, name, multiple, window_s):
-        # All streams of the steady state begin within the ramp: about 130 a second at
-        # the share, a rate that the entry can take beside the tokens.
+        # All streams of the steady state start within the ramp: about 130 streams/s at
+        # the share, a rate that the entry can handle in addition to the tokens.
         ramp_s = 2.0 + multiple
         requests_per_s = multiple * SHARE_REQUESTS_PER_S
         return LoadLevel(
@@ -111,18 +111,18 @@
     Parameters
     ----------
     plan : PathPlan
-        What is measured how long.
+        Levels and durations.
     processes : scripts._processes.Processes
-        Starts and ends the processes.
+        Starter of the processes.
     folder : pathlib.Path
-        Temporary folder.
-    say : callable
-        Takes a line on the progress.
+        Temporary folder for results and logs.
+    on_progress : callable
+        Called with each line on the progress.
     """
 
-    __slots__ = ("_cluster", "_folder", "_plan", "_processes", "_say")
+    __slots__ = ("_cluster", "_folder", "_on_progress", "_plan", "_processes")
 
-    def __init__(self, plan, processes, folder, say):
+    def __init__(self, plan, processes, folder, on_progress):
         options = ClusterOptions(
             failure_domains=("trondheim-a",),
             entries=1,
@@ -135,15 +135,15 @@
         self._plan = plan
         self._processes = processes
         self._folder = folder
-        self._say = say
+        self._on_progress = on_progress
         self._cluster = Cluster(options, processes, folder)
 
     async def run(self):
-        """Start everything, run all levels and return the `PathReport`."""
+        """Start all processes, run all levels and return the `PathReport`."""
         plan = self._plan
         cluster = self._cluster
         await cluster.start()
-        self._say(f"ready: one entry, {ENGINES} agents, {ENGINES} engines")
+        self._on_progress(f"ready: one entry, {ENGINES} agents, {ENGINES} engines")
         idle = await self._measure_idle()
         engines = [agent.target_address for agent in cluster.agents]
         direct = await self._measure(plan.share_level("direct"), engines)
@@ -165,13 +165,13 @@
         orders = self._orders(level, addresses, starts_at_s)
         callers = [self._start_callers(order) for order in orders]
         await _sleep_until(orders[0].window_starts_at_s)
-        usages, made = self._read_usages(), await self._made_tokens()
+        usages, made = self._read_usages(), await self._read_token_count()
         machine = await watch_machine(orders[0].window_ends_at_s)
         roles = _role_figures(usages, self._read_usages())
-        made_tokens_per_s = (await self._made_tokens() - made) / level.window_s
+        made_tokens_per_s = (await self._read_token_count() - made) / level.window_s
         load = LoadFigures.of(level, await self._collect(callers, orders))
         figures = LevelFigures(level, load, made_tokens_per_s, roles, machine)
-        self._say(_describe(figures))
+        self._on_progress(_describe(figures))
         await curio.sleep(SETTLE_S)
         return figures
 
@@ -222,7 +222,7 @@
             for role, started in processes.items()
         }
 
-    async def _made_tokens(self):
+    async def _read_token_count(self):
         counts = [
             await control(agent.target_address, "GET", "/counts")
             for agent in self._cluster.agents
@@ -231,7 +231,7 @@
 
 
 def _role_figures(before, after):
-    """Return the `RoleFigures` by role between two readings."""
+    """Return the `RoleFigures` by role from two readings of the usage."""
     figures = {}
     for role, usages in after.items():
         count = len(usages)
--- a/siskinthread/measurement/_path_schedule.py
+++ b/siskinthread/measurement/_path_schedule.py
@@ -1,14 +1,15 @@
-"""When the requests of a path measurement begin and how long their answers are.
+"""Schedule of a path measurement: start times and answer lengths of the requests.
 
-The load is in its steady state as soon as the ramp is over: as many streams run as
-arrivals keep up, with tokens left spread evenly over the length of an answer.
+The load is in its steady state at the end of the ramp: the number of running streams
+is that which the arrivals sustain, and their numbers of remaining tokens are evenly
+distributed over the length of an answer.
 """
 
 import math
 
 GOLDEN_SHARE = (math.sqrt(5) - 1) / 2
 LAST_SAMPLE_S = 1.0
-"""Time before the end at which the last sampled request begins."""
+"""Minimum time from the start of a sampled request to the end, seconds."""
 
 
 class LoadLevel:
@@ -25,9 +26,9 @@
     step_s : float
         Step time of the engines, seconds.
     ramp_s : float
-        Time over which the streams of the steady state are begun, seconds.
+        Time over which the streams of the steady state are started, seconds.
     window_s : float
-        Time that is measured, seconds.
+        Length of the measured window, seconds.
     """
 
     __slots__ = (
@@ -51,12 +52,12 @@
 
     @property
     def tokens_per_s(self):
-        """Tokens offered a second."""
+        """Rate of offered tokens."""
         return self.requests_per_s * self.tokens_per_request
 
     @property
     def stream_count(self):
-        """Streams that run at once in the steady state."""
+        """Number of concurrent streams in the steady state."""
         return round(self.tokens_per_s * self.step_s)
 
 
@@ -86,7 +87,7 @@
 
 
 def schedule(level):
-    """Return the `ScheduledRequest` objects of a level in the order of their begin."""
+    """Return the `ScheduledRequest` objects of a level, sorted by start time."""
     requests = [*_initial_requests(level), *_arrivals(level)]
     return sorted(requests, key=lambda request: request.start_s)
 
@@ -94,25 +95,25 @@
 def _initial_requests(level):
     """Return the streams that run at the end of the ramp.
 
-    Their tokens left at that time are spread evenly from one to the whole length; what
-    they make before comes on top.
+    Their numbers of remaining tokens at that time are evenly distributed from one to
+    the whole length; tokens generated during the ramp are added.
     """
     count = level.stream_count
     requests = []
     for number in range(count):
         left = 1 + int((number * GOLDEN_SHARE % 1.0) * level.tokens_per_request)
         start_s = level.ramp_s * number / count
-        made_before = int((level.ramp_s - start_s) / level.step_s)
-        requests.append(ScheduledRequest(number, start_s, left + made_before, False))
+        ramp_tokens = int((level.ramp_s - start_s) / level.step_s)
+        requests.append(ScheduledRequest(number, start_s, left + ramp_tokens, False))
     return requests
 
 
 def _arrivals(level):
     """Return the arrivals after the ramp.
 
-    Their phases within the engines' step are a low-discrepancy sequence (multiples of
-    the golden section), since the wait for the next step is the greatest part of the
-    time to the first token: random phases would hide a difference of milliseconds.
+    Their phases within the step of the engines are a low-discrepancy sequence
+    (multiples of the golden ratio).  The wait for the next step is the largest part of
+    the time to first token, so random phases would hide a difference of milliseconds.
     """
     first_number = level.stream_count
     last_sample_s = level.ramp_s + level.window_s - LAST_SAMPLE_S
@@ -133,6 +134,6 @@
 
 
 def _at_phase(time_s, phase, step_s):
-    """Return the time nearest to another one that lies at a phase of the step."""
+    """Return the time with the given phase that is nearest to `time_s`."""
     steps = round(time_s / step_s - phase)
     return (steps + phase) * step_s
--- a/siskinthread/measurement/_process_usage.py
+++ b/siskinthread/measurement/_process_usage.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of other processes, as the kernel counts them."""
+"""Processor time and memory of processes, from ``/proc``."""
 
 import os
 import time
@@ -13,18 +13,18 @@
 
 
 class ProcessUsage:
-    """What a process has used at one moment.
+    """Resource usage of a process at one time.
 
     Attributes
     ----------
     taken_at_s : float
-        The moment, monotonic seconds.
+        Time of the reading, monotonic seconds.
     cpu_s : float
-        User and system time so far, seconds.
+        Total user and system time, seconds.
     waited_s : float
-        Time so far that the process was ready but got no core, seconds.
+        Total time that the process was runnable but had no core, seconds.
     resident_bytes, peak_resident_bytes : int
-        Resident memory now and at its highest.
+        Resident memory, and its peak.
     """
 
     __slots__ = (
@@ -54,7 +54,7 @@
         If the process has ended.
     """
     folder = Path("/proc", str(pid))
-    # The name of the program, in brackets, may hold spaces.
+    # The name of the program, in parentheses, may contain spaces.
     fields = (folder / "stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[USER_FIELD]) + int(fields[SYSTEM_FIELD])
     waited_ns = int((folder / "schedstat").read_text().split()[WAIT_FIELD])
@@ -72,12 +72,12 @@
 
 
 def core_share(before, after):
-    """Return the share of a core that a process used between two moments."""
+    """Return the share of a core that a process used between two readings."""
     return (after.cpu_s - before.cpu_s) / (after.taken_at_s - before.taken_at_s)
 
 
 def wait_share(before, after):
-    """Return the share of the time that a process was ready but got no core."""
+    """Return the share of the time that a process was runnable but had no core."""
     return (after.waited_s - before.waited_s) / (after.taken_at_s - before.taken_at_s)
 
 
--- a/siskinthread/measurement/_routing.py
+++ b/siskinthread/measurement/_routing.py
@@ -1,4 +1,4 @@
-"""Compares the router with its baselines on seeded runs of a queue model."""
+"""Comparison of the router with baselines on seeded runs of a queue model."""
 
 import json
 import statistics
@@ -33,20 +33,22 @@
 
 
 class PolicyFigures:
-    """What one policy reached in one scenario, over all seeds.
+    """Figures of one policy in one scenario, over all seeds.
 
     Attributes
     ----------
     p50_ms, p99_ms : float
-        Quantiles of the time to the first token over all requests, milliseconds.
+        Quantiles of the time to first token over all requests, milliseconds.
     p99_ms_by_seed : list of float
-        The same quantile for each seed.
+        99th percentile for each seed, milliseconds.
     domain_excess : float
-        Highest load of a failure domain over its capacity while another had room.
+        Highest load of a failure domain in excess of its capacity, relative to the
+        capacity, while another domain had free capacity.
     slow_share : float
-        Mean share of the requests that went to slow targets.
+        Mean share of the requests that were sent to slow targets.
     unanswered_count : int
-        Requests without a first token at the end; they count with the time waited.
+        Number of requests without a first token at the end; their time to first token
+        is the time until the end.
     """
 
     __slots__ = (
@@ -72,7 +74,7 @@
         self.unanswered_count = sum(result.unanswered_count for result in results)
 
     def as_dict(self):
-        """Return the figures, rounded, for JSON."""
+        """Return the rounded figures as a dict for JSON."""
         return {
             "p50_ms": round(self.p50_ms, 1),
             "p99_ms": round(self.p99_ms, 1),
@@ -84,12 +86,12 @@
 
 
 class RoutingComparison:
-    """All policies in one scenario.
+    """Comparison of all policies in one scenario.
 
     Attributes
     ----------
     figures : dict of str to PolicyFigures
-        By policy.
+        Figures by policy.
     """
 
     __slots__ = ("figures",)
@@ -99,14 +101,14 @@
 
     @property
     def p99_ratio(self):
-        """The router's 99th percentile over that of the best baseline."""
+        """Ratio of the 99th percentiles of the router and of the best baseline."""
         best_ms = min(
             figures.p99_ms for name, figures in self.figures.items() if name != ROUTER
         )
         return self.figures[ROUTER].p99_ms / best_ms
 
     def as_dict(self):
-        """Return the figures for JSON."""
+        """Return the figures as a dict for JSON."""
         policies = {name: figures.as_dict() for name, figures in self.figures.items()}
         return {"p99_ratio": round(self.p99_ratio, 3), "policies": policies}
 
@@ -138,7 +140,7 @@
     Returns
     -------
     dict of str to RoutingComparison
-        By scenario.
+        Comparison by scenario.
     """
     return {
         name: compare_policies(Scenario(**changes), seeds)
--- a/siskinthread/measurement/_routing_model.py
+++ b/siskinthread/measurement/_routing_model.py
@@ -1,7 +1,7 @@
-"""A seeded queue model of targets, entry hosts and lagging load reports.
+"""Seeded queue model of targets, entry hosts and delayed load reports.
 
-Only what the choice of a target depends on is modelled: steps with a batch, a queue by
-priority, delays between failure domains, and reports that lag.
+The model covers what the choice of a target depends on: steps with a batch, a priority
+queue, delays between failure domains, and delayed reports.
 """
 
 import heapq
@@ -11,12 +11,12 @@
 
 
 class EventQueue:
-    """Calls at points of model time, in order.
+    """Event queue of function calls in model time.
 
     Attributes
     ----------
     clock : ManualClock
-        The model's clock.
+        Clock of the model.
     """
 
     __slots__ = ("_calls", "_sequence", "clock")
@@ -36,7 +36,7 @@
         heapq.heappush(self._calls, (at_s, next(self._sequence), function, arguments))
 
     def run_until(self, end_s):
-        """Make all calls that are due up to `end_s`."""
+        """Run all calls that are due up to `end_s`, in order of time."""
         while self._calls and self._calls[0][0] <= end_s:
             at_s, _, function, arguments = heapq.heappop(self._calls)
             self.clock.advance(max(0.0, at_s - self.now_s()))
@@ -49,11 +49,11 @@
     Parameters
     ----------
     request : siskinthread.dispatch.CallerRequest
-        What the policies see.
+        Request that is passed to the policies.
     token_count : int
-        Tokens of the answer.
+        Number of tokens of the answer.
     issued_at_s : float
-        When the entry host got it.
+        Model time at which the entry host received the request, seconds.
     """
 
     __slots__ = ("first_token_s", "issued_at_s", "request", "token_count")
@@ -66,16 +66,16 @@
 
 
 class ModelTarget:
-    """An engine that batches continuously.
+    """Engine with continuous batching.
 
     Parameters
     ----------
     events : EventQueue
-        Model time.
+        Event queue of the model.
     host, failure_domain : str
-        Name and place.
+        Name and failure domain of the host.
     scenario : siskinthread.measurement._routing_scenario.Scenario
-        Sizes and times.
+        Sizes and times of the model.
     """
 
     __slots__ = (
@@ -107,11 +107,11 @@
 
     @property
     def waiting_count(self):
-        """Requests in the queue."""
+        """Number of requests in the queue."""
         return len(self._queue)
 
     def submit(self, model_request, on_first_token, on_end):
-        """Queue a request; the callbacks get it at its first and last token."""
+        """Queue a request; call the callbacks with it at its first and last token."""
         self.request_count += 1
         priority = model_request.request.priority
         order = (priority, next(self._sequence))
--- a/siskinthread/measurement/_routing_parts.py
+++ b/siskinthread/measurement/_routing_parts.py
@@ -1,4 +1,4 @@
-"""The parts that a `Router` asks, as the routing model has them."""
+"""Model counterparts of the objects that a `Router` queries."""
 
 from siskinthread.shared_services import HostEntry
 
@@ -6,7 +6,7 @@
 
 
 class ModelLinkStatus:
-    """A link's state as `siskinthread.links` shows it."""
+    """State of a link with the attributes of `siskinthread.links.LinkStatus`."""
 
     __slots__ = ("connected", "leaving", "load", "load_received_at_s", "services")
 
@@ -19,7 +19,7 @@
 
 
 class ModelLinks:
-    """The links of one entry host."""
+    """Links of one entry host."""
 
     __slots__ = ("_statuses",)
 
@@ -36,7 +36,7 @@
 
 
 class ModelState:
-    """A configuration that allows everything."""
+    """Configuration that allows each account every target."""
 
     __slots__ = ("_hosts", "version")
 
@@ -50,7 +50,7 @@
 
 
 class ModelMembership:
-    """A membership that never changes."""
+    """Membership that never changes."""
 
     __slots__ = ("_entries", "_failure_domains")
 
@@ -74,4 +74,4 @@
         return self._failure_domains[host]
 
     def listen(self, callback):
-        """Nothing ever changes."""
+        """Ignore the callback, as the membership never changes."""
--- a/siskinthread/measurement/_routing_policies.py
+++ b/siskinthread/measurement/_routing_policies.py
@@ -1,4 +1,4 @@
-"""Baselines for the choice of a target."""
+"""Baseline policies for the choice of a target."""
 
 import itertools
 import math
@@ -7,18 +7,18 @@
 
 
 class RoundRobin:
-    """Each target in turn, every entry host with a turn of its own."""
+    """Round-robin order of the targets, shuffled separately for each entry host."""
 
-    __slots__ = ("_turns",)
+    __slots__ = ("_cycle",)
 
     def __init__(self, hosts, own_failure_domain, random):
         names = sorted(hosts)
         random.shuffle(names)
-        self._turns = itertools.cycle(names)
+        self._cycle = itertools.cycle(names)
 
     def choose(self, request):
         """Return the next target."""
-        return next(self._turns)
+        return next(self._cycle)
 
     def started(self, host, request):
         """Ignored."""
@@ -31,7 +31,7 @@
 
 
 class LeastOutstanding(RoundRobin):
-    """The target with the fewest requests of this entry host, ties at random."""
+    """Target with the fewest requests of this entry host; ties are broken randomly."""
 
     __slots__ = ("_counts", "_random")
 
@@ -40,28 +40,29 @@
         self._random = random
 
     def choose(self, request):
-        """Return a least used target."""
+        """Return a target with the fewest outstanding requests."""
         least_count = min(self._counts.values())
         least = [host for host, count in self._counts.items() if count == least_count]
         return self._random.choice(least)
 
     def started(self, host, request):
-        """Count a request."""
+        """Count a started request."""
         self._counts[host] += 1
 
     def ended(self, host, request, outcome, first_byte_s):
-        """Count a request as ended."""
+        """Count an ended request."""
         self._counts[host] -= 1
 
 
 class DomainShares(RoundRobin):
-    """Targets offered to each failure domain by its share of the capacity.
+    """Targets allocated to each failure domain by its share of the capacity.
 
     Notes
     -----
-    The allocation of the reference, each target counting the same capacity: a failure
-    domain is offered at least ``ceil(share * targets / 1.2)`` targets; if the minimums
-    don't fit, or there is one failure domain only, all targets are offered to all.
+    The allocation of the reference, with equal capacity of all targets: a failure
+    domain gets at least ``ceil(share * targets / 1.2)`` targets.  If the sum of the
+    minimums exceeds the number of targets, or there is only one failure domain, every
+    target is offered to every domain.
 
     References
     ----------
@@ -85,7 +86,7 @@
 
 
 def offer_by_shares(hosts, shares):
-    """Return the dict of host to the failure domain that it is offered to.
+    """Return the failure domain that each host is offered to, as a dict.
 
     Parameters
     ----------
@@ -97,7 +98,7 @@
     Returns
     -------
     dict
-        Empty if the rule offers all targets to all.
+        Failure domain by host; empty if every target is offered to every domain.
     """
     count = len(hosts)
     desired = {domain: share * count for domain, share in shares.items()}
@@ -111,13 +112,13 @@
     offers = dict(sorted(hosts.items()))
     held = {domain: list(offers.values()).count(domain) for domain in shares}
     while True:
-        giving = max(shares, key=lambda domain: held[domain] - desired[domain])
-        receiving = min(shares, key=lambda domain: held[domain] - desired[domain])
-        surplus = held[giving] - desired[giving]
-        deficit = desired[receiving] - held[receiving]
+        donor = max(shares, key=lambda domain: held[domain] - desired[domain])
+        recipient = min(shares, key=lambda domain: held[domain] - desired[domain])
+        surplus = held[donor] - desired[donor]
+        deficit = desired[recipient] - held[recipient]
         if surplus < 0.5 or deficit < 0.5 or max(surplus, deficit) < 1.0:
             return offers
-        moved = next(host for host, domain in offers.items() if domain == giving)
-        offers[moved] = receiving
-        held[giving] -= 1
-        held[receiving] += 1
+        moved = next(host for host, domain in offers.items() if domain == donor)
+        offers[moved] = recipient
+        held[donor] -= 1
+        held[recipient] += 1
--- a/siskinthread/measurement/_routing_run.py
+++ b/siskinthread/measurement/_routing_run.py
@@ -1,4 +1,4 @@
-"""One run of the routing model: entry hosts, their links and the traffic."""
+"""Run of the routing model: entry hosts, their links and the traffic."""
 
 import math
 import random
@@ -27,18 +27,19 @@
 
 
 class RunResult:
-    """What one run measured.
+    """Results of one run.
 
     Attributes
     ----------
     first_token_s : list of float
-        Time from the entry host's choice to the first token, for each request.
+        Time from the choice of a target to the first token of each request, seconds.
     domain_excess : float
-        Highest load of a failure domain over its capacity while another one had room.
+        Highest load of a failure domain in excess of its capacity, relative to the
+        capacity, while another domain had free capacity.
     target_shares : dict of str to float
         Share of the measured requests by target.
     unanswered_count : int
-        Requests without a first token at the end.
+        Number of requests without a first token at the end.
     """
 
     __slots__ = ("domain_excess", "first_token_s", "target_shares", "unanswered_count")
@@ -51,14 +52,15 @@
 
 
 class Run:
-    """One policy under one scenario and seed.
+    """Run of one policy with one scenario and seed.
 
     Parameters
     ----------
     scenario : siskinthread.measurement._routing_scenario.Scenario
         Sizes and loads.
     make_policy : callable
-        Called with this run, an entry host's links, failure domain and generator.
+        Called with this run and the links, failure domain and random generator of an
+        entry host; returns its policy.
     seed : int
         Seed of traffic and policies; the traffic is the same for every policy.
     """
@@ -86,7 +88,7 @@
         self._account = Account("inspectorate", {}, [])
 
     def measure(self):
-        """Run to the end and return the `RunResult`."""
+        """Run the model to its end and return the `RunResult`."""
         for _, links, _ in self._entries:
             self._schedule_reports(links)
         self._schedule_arrival()
--- a/siskinthread/measurement/_routing_scenario.py
+++ b/siskinthread/measurement/_routing_scenario.py
@@ -1,15 +1,15 @@
-"""What a run of the routing model is given."""
+"""Parameters of a run of the routing model."""
 
 import math
 
 
 class Scenario:
-    """Sizes, times and loads of one run; the defaults are the inspectorate's sizes.
+    """Sizes, times and loads of one run; the defaults model the inspectorate.
 
     Parameters
     ----------
     **changes
-        Attributes that differ from the defaults below.
+        Values of attributes that replace the defaults.
     """
 
     __slots__ = (
@@ -73,11 +73,11 @@
         return self.slow_factor if is_slow else 1.0
 
     def request_rate_per_s(self):
-        """Return the requests a second that make the use of healthy targets."""
+        """Return the request rate that gives healthy targets the utilisation `use`."""
         step_s = self.step_s * (1.0 + self.full_batch_slowdown)
-        stay_s = step_s * (self.prefill_step_count + self.token_count_mean)
+        service_time_s = step_s * (self.prefill_step_count + self.token_count_mean)
         slot_count = self.capacity_count * sum(self.target_counts.values())
-        return self.use * slot_count / stay_s
+        return self.use * slot_count / service_time_s
 
     def one_way_s(self, from_domain, to_domain):
         """Return the delay between two failure domains, seconds."""
--- a/siskinthread/measurement/_slopes.py
+++ b/siskinthread/measurement/_slopes.py
@@ -1,4 +1,4 @@
-"""Cost for each request and each token, fitted to several levels of load."""
+"""Cost per request and per token, fitted to several levels of load."""
 
 import numpy as np
 
@@ -6,14 +6,14 @@
 
 
 class Slopes:
-    """Processor time of a role as a sum of three parts.
+    """Processor time of a role as the sum of an idle, a request and a token part.
 
     Attributes
     ----------
     idle_core_share : float
         Share of a core without requests.
     request_us, token_us : float
-        Processor time for each request and each token, microseconds.
+        Processor time per request and per token, microseconds.
     largest_error_share : float
         Largest difference between a level and the fit, as a share of the level.
     """
@@ -27,7 +27,7 @@
         self.largest_error_share = largest_error_share
 
     def as_dict(self):
-        """Return the slopes, rounded, for JSON."""
+        """Return the rounded slopes as a dict for JSON."""
         return {
             "idle_core_share": round(self.idle_core_share, 5),
             "request_us": round(self.request_us, 1),
@@ -37,20 +37,20 @@
 
 
 def fit_slopes(points, idle_core_share):
-    """Return the `Slopes` nearest to some levels, with relative errors.
+    """Return the `Slopes` of a least-squares fit with relative errors.
 
     Parameters
     ----------
     points : list of tuple of float
-        For each level requests a second, tokens a second and the share of a core.
-        Two of them at least must differ in tokens for each request, else the two
-        costs can't be told apart.
+        Requests per second, tokens per second and core share of each level.  At least
+        two levels must differ in tokens per request, as the fit can't separate the two
+        costs otherwise.
     idle_core_share : float
         Share of a core without requests.
     """
     requests_per_s, tokens_per_s, shares = np.array(points, dtype=float).T
     rates = np.stack([requests_per_s, tokens_per_s], axis=1)
-    # Relative errors, so that the highest level does not alone decide.
+    # Relative errors, as the highest level would dominate a fit with absolute errors.
     scaled = rates / shares[:, np.newaxis]
     wanted = (shares - idle_core_share) / shares
     request_s, token_s = np.linalg.lstsq(scaled, wanted, rcond=None)[0]
@@ -64,12 +64,12 @@
 
 
 def fit_memory(points):
-    """Return the bytes of memory without streams and for each stream.
+    """Return the bytes of memory without streams, and per stream.
 
     Parameters
     ----------
     points : list of tuple of float
-        For each level the number of streams and the resident bytes.
+        Number of streams and resident bytes of each level.
     """
     streams, resident_bytes = np.array(points, dtype=float).T
     for_each, without = np.polyfit(streams, resident_bytes, 1)
--- a/siskinthread/measurement/_svg_chart.py
+++ b/siskinthread/measurement/_svg_chart.py
@@ -1,4 +1,4 @@
-"""Line charts as SVG."""
+"""Line charts in SVG."""
 
 import math
 
@@ -18,11 +18,11 @@
     Attributes
     ----------
     name : str
-        Text of the legend, already escaped.
+        Label in the legend, escaped for XML.
     colour : str
         CSS colour.
     values : list of float
-        One for each interval.
+        Value of each interval.
     """
 
     __slots__ = ("colour", "name", "values")
@@ -34,12 +34,12 @@
 
 
 def render_chart(lines):
-    """Return the SVG element of a chart of lines over the number of the interval.
+    """Return the SVG element of a chart of lines over the interval number.
 
     Parameters
     ----------
     lines : list of Line
-        At least one, with at least one value each.
+        At least one line, each with at least one value.
     """
     length = max(len(line.values) for line in lines)
     highest = max(max(line.values) for line in lines)
@@ -48,13 +48,13 @@
         f'<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 {WIDTH} {HEIGHT}" '
         'font-family="sans-serif" font-size="12">'
     ]
-    parts += _scale(length, top)
-    for place, line in enumerate(lines):
-        parts += _drawn(line, place, length, top)
+    parts += _draw_axes(length, top)
+    for position, line in enumerate(lines):
+        parts += _draw_line(line, position, length, top)
     return "\n".join([*parts, "</svg>"])
 
 
-def _scale(length, top):
+def _draw_axes(length, top):
     parts = []
     for mark in range(MARK_COUNT + 1):
         value = top * mark / MARK_COUNT
@@ -70,12 +70,12 @@
     return parts
 
 
-def _drawn(line, place, length, top):
+def _draw_line(line, position, length, top):
     points = " ".join(
         f"{_x(interval, length)},{_y(value, top)}"
         for interval, value in enumerate(line.values)
     )
-    x, y = LEFT + place * LEGEND_STEP, HEIGHT - 12
+    x, y = LEFT + position * LEGEND_STEP, HEIGHT - 12
     return [
         f'<polyline fill="none" stroke="{line.colour}" points="{points}"/>',
         f'<rect x="{x}" y="{y - 10}" width="12" height="12" fill="{line.colour}"/>',
@@ -97,7 +97,7 @@
 
 
 def _round_up(value):
-    """Return the next value of one or two digits, for a readable scale."""
+    """Round up to a value with one or two significant digits, as top of the scale."""
     if value <= 0:
         return 1
     unit = 10 ** math.floor(math.log10(value))
--- a/siskinthread/measurement/tests/__init__.py
+++ b/siskinthread/measurement/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of measurement."""
+"""Tests of the measurements."""
--- a/siskinthread/measurement/tests/test_checkout.py
+++ b/siskinthread/measurement/tests/test_checkout.py
@@ -1,4 +1,4 @@
-"""Tests of the search for the checkout, and of the commands that measure."""
+"""Tests of the access to the checkout, and of the measurement commands."""
 
 import json
 import types
@@ -14,14 +14,14 @@
 
 
 def test_outside_a_checkout_the_measurement_says_what_is_missing(tmp_path):
-    """An installed package lies beside neither the stand-ins nor the scripts."""
+    """Guards against a measurement from an installed package, without stand-ins."""
     (tmp_path / "scripts").mkdir()
     with pytest.raises(MeasurementError, match="checkout.*standins not found"):
         use_checkout(tmp_path)
 
 
 def test_command_fails_when_a_bound_is_not_kept(monkeypatch, capsys):
-    """The exit code tells a script whether every figure kept its bound."""
+    """The exit code is 0 only if every figure meets its bound."""
     report = types.SimpleNamespace(
         as_dict=lambda: {"checks": {}}, holds=lambda: False, checks=list
     )
@@ -44,7 +44,7 @@
 
 
 def test_expert_report_is_a_page_of_its_own(expert_runs, monkeypatch):
-    """The page is well formed, shows every policy and asks for no other file."""
+    """The page is well formed, shows every policy and refers to no other file."""
     monkeypatch.setattr("siskinthread.measurement._expert_report.COLOURS", ["red"] * 2)
     page = render_expert_report(1, expert_runs)
     tree = xml.etree.ElementTree.fromstring(
@@ -57,6 +57,6 @@
     )
     lines = [each for each in tree.iter() if each.tag.endswith("polyline")]
     assert len(lines) == 4
-    # The skew of the better policy is drawn lower, at greater y.
+    # The line of the lower skew is drawn lower, at a larger y.
     heights = [float(line.get("points").split()[0].split(",")[1]) for line in lines]
     assert heights[0] < heights[1]
--- a/siskinthread/measurement/tests/test_control.py
+++ b/siskinthread/measurement/tests/test_control.py
@@ -7,7 +7,7 @@
 
 
 class FakeWorker:
-    """A worker process with nodes of one role."""
+    """Worker process with nodes of one role."""
 
     def __init__(self, role, nodes):
         self.role = role
@@ -15,7 +15,7 @@
 
 
 class FakeSnapshot:
-    """What a worker had used at a moment."""
+    """Usage and report of a worker at one time."""
 
     def __init__(self, taken_at_s, cpu_s, resident_bytes, moved_bytes, links=0):
         self.usage = ProcessUsage(taken_at_s, cpu_s, 0.0, resident_bytes, 0)
@@ -23,7 +23,7 @@
 
 
 class FakeSize:
-    """A size whose costs for each link and each listed host are known."""
+    """Figures of a size with known costs per link and per listed host."""
 
     def __init__(self, size, links):
         self.size = size
@@ -41,7 +41,7 @@
             FakeSnapshot(0.0, 0.0, 50e6, 0),
             FakeSnapshot(10.0, 1.0, 50e6, 0),
             FakeSnapshot(14.0, 1.0 + 4 * cores, 50e6, 4 * bytes_per_s, links),
-            # 2 s more with two changes of 500 bytes and 5 ms for each node.
+            # 2 s later, after two changes with 500 bytes and 5 ms for each node.
             FakeSnapshot(
                 16.0,
                 1.0 + 6 * cores + 0.01 * nodes,
@@ -52,7 +52,7 @@
 
 
 def test_costs_are_told_apart_and_extended():
-    """Rest and changes, links and listed hosts are separated and extended."""
+    """The costs of idling, changes, links and listed hosts are extrapolated apart."""
     result = figures_of([FakeSize(50, 15), FakeSize(100, 48), FakeSize(200, 48)])
     role = result["sizes"][1]["roles"]["entry"]
     assert role["rest_core_share"] == pytest.approx(0.0048 + 0.001)
@@ -73,10 +73,10 @@
 
 
 def test_noise_never_makes_more_hosts_cheaper():
-    """Symptom: the estimate at the full size is below what was measured.
+    """Guards against an estimate at the full size that is below a measured value.
 
-    Events: processor time at the largest size was a little lower than at one of the
-    same links, and the difference was extended.
+    It occurs if noise lowers the processor time at the largest size below that of a
+    smaller size with the same number of links, and the difference is extrapolated.
     """
     sizes = [FakeSize(50, 15), FakeSize(100, 48), FakeSize(200, 48)]
     for worker in sizes[-1].workers:
--- a/siskinthread/measurement/tests/test_path_load.py
+++ b/siskinthread/measurement/tests/test_path_load.py
@@ -1,4 +1,4 @@
-"""Tests of what the callers of the path measurement check and count."""
+"""Tests of the checks and counts of the callers of the path measurement."""
 
 import json
 import time
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def answer():
-    """A whole answer whose tokens came one by one, the first before the window."""
+    """Complete answer with separate tokens, the first one before the window."""
     answer = RawAnswer()
     answer.status = 200
     answer.body = bytearray(EXPECTED)
@@ -50,11 +50,10 @@
 
 @pytest.mark.parametrize("kind", ["exchanged", "short_as_whole", "doubled"])
 def test_wrong_bytes_are_counted(order, answer, kind):
-    """An exchanged byte, a missing end or a doubled token of a whole answer shows.
+    """A changed byte, a missing end or a repeated token is counted as wrong.
 
-    Symptom: a run looks fast and fine while callers get broken answers.  Sequence: the
-    path loses, repeats or mixes up a part of a stream.  Cause: whatever breaks the
-    path; the measurement must not hide it.
+    Guards against a measurement that reports good figures while the path loses, repeats
+    or mixes up parts of streams.
     """
     if kind == "exchanged":
         answer.body[30] ^= 1
@@ -66,7 +65,7 @@
 
 
 def test_answer_cut_by_the_end_is_checked_too(order, answer):
-    """A cut answer is right if it is the beginning of the expected one."""
+    """A cut answer is correct if it is a prefix of the expected answer."""
     answer.whole = False
     del answer.body[-20:]
     assert result_of(order, answer).wrong_count == 0
@@ -75,7 +74,7 @@
 
 
 def test_refusal_and_lost_response_are_failures(order, answer):
-    """Another status than 200 counts as failed, and no response as waiting."""
+    """A status other than 200 counts as failed, no response at the end as waiting."""
     answer.status = 503
     assert result_of(order, answer).failed_count == 1
     answer.status = None
@@ -86,7 +85,7 @@
 
 
 def test_orders_and_results_pass_between_processes(order, answer):
-    """Both are the same after a way through JSON."""
+    """Orders and results are unchanged by encoding and decoding."""
     again = LoadOrder.from_json(order.to_json())
     assert again.to_json() == order.to_json()
     assert [request.number for request in again.requests()] == [
@@ -97,7 +96,7 @@
 
 
 def test_parts_share_the_schedule(order):
-    """Every request of the schedule belongs to exactly one process of callers."""
+    """Every request of the schedule belongs to exactly one caller process."""
     numbers = [request.number for request in order.requests()]
     order.part = 1
     numbers += [request.number for request in order.requests()]
--- a/siskinthread/measurement/tests/test_path_report.py
+++ b/siskinthread/measurement/tests/test_path_report.py
@@ -1,4 +1,4 @@
-"""Tests of the verdicts of the path measurement."""
+"""Tests of the report of the path measurement."""
 
 import types
 
@@ -21,7 +21,7 @@
 def figures(
     multiple, added_s=0.0, delivered_share=1.0, wrong_count=0, tokens_per_request=256
 ):
-    """Return a level that is exactly as told."""
+    """Return the figures of a level with exactly the given values."""
     level = LoadLevel(
         f"x{multiple}", 20.0 * multiple, tokens_per_request, STEP_S, 1.0, 10.0
     )
@@ -50,7 +50,7 @@
 
 
 def test_added_time_is_the_difference_to_the_direct_path():
-    """The engines' own time is in both and drops out."""
+    """The time of the engines is in both figures and cancels out."""
     path = report([figures(1, 0.004)], direct_s=0.001)
     assert path.added_ms(0.5) == pytest.approx(3.0, abs=0.01)
     assert path.added_ms(0.99) == pytest.approx(3.0, abs=0.01)
@@ -60,10 +60,10 @@
     "fault", [{"added_s": 0.1}, {"delivered_share": 0.95}, {"wrong_count": 1}]
 )
 def test_capacity_ends_before_the_first_level_that_fails(fault):
-    """Late first tokens, missing tokens or a wrong answer each end the capacity.
+    """Late first tokens, missing tokens or a wrong answer each limit the capacity.
 
-    A level above that holds by luck doesn't count: an entry that fails at two shares
-    can't be given three.
+    A higher level that passes by chance does not count: an entry that fails at two
+    shares can't handle three.
     """
     levels = [figures(1), figures(2, **fault), figures(3)]
     assert report(levels).capacity() == 1
@@ -71,13 +71,13 @@
 
 
 def test_wrong_answer_anywhere_breaks_the_report():
-    """No figure of cost makes up for a wrong answer."""
+    """A wrong answer at any level fails the report, whatever the other figures."""
     assert report([figures(1), figures(3)]).holds()
     assert not report([figures(1), figures(3), figures(4, wrong_count=1)]).holds()
 
 
 def test_slopes_are_for_one_process():
-    """An agent's slopes are those of its own requests and tokens."""
+    """The slopes of an agent refer to the requests and tokens of that agent."""
     path = report([figures(1), figures(2), figures(3)])
     for role in (ENTRY, AGENT):
         slopes = path.slopes(role)
--- a/siskinthread/measurement/tests/test_path_schedule.py
+++ b/siskinthread/measurement/tests/test_path_schedule.py
@@ -1,4 +1,4 @@
-"""Tests of the load of the path measurement."""
+"""Tests of the schedule of the path measurement."""
 
 import collections
 
@@ -17,7 +17,7 @@
 
 
 def running_at(requests, time_s):
-    """Return the streams that make tokens at a time, by a naive walk."""
+    """Return the number of streams that generate tokens at a time."""
     return sum(
         request.start_s <= time_s < request.start_s + request.token_count * STEP_S
         for request in requests
@@ -25,7 +25,7 @@
 
 
 def test_load_is_steady_from_the_end_of_the_ramp(level):
-    """As many streams run at each moment of the window as arrivals keep up."""
+    """The number of running streams is constant throughout the window."""
     requests = schedule(level)
     for tenth in range(0, int(WINDOW_S * 10)):
         running = running_at(requests, RAMP_S + 0.1 + tenth / 10)
@@ -33,7 +33,7 @@
 
 
 def test_phases_of_samples_are_even(level):
-    """Every sixteenth of the step gets its part of the samples, give or take one."""
+    """Each sixteenth of the step has its share of the samples, within two."""
     sampled = [request for request in schedule(level) if request.sampled]
     counts = collections.Counter(
         int(request.start_s % STEP_S / STEP_S * 16) for request in sampled
@@ -44,9 +44,9 @@
 def test_samples_are_arrivals_of_the_window(level):
     """Neither the ramp nor the last second of the window is sampled.
 
-    Symptom: first tokens far above the rest, or missing.  The streams of the ramp begin
-    far faster than the steady rate, and those of the end are cut off before their first
-    token.
+    Guards against samples with late or missing first tokens: the streams of the ramp
+    start much faster than at the steady rate, and streams near the end are cut off
+    before their first token.
     """
     for request in schedule(level):
         if request.sampled:
@@ -56,7 +56,7 @@
 
 
 def test_numbers_are_unique_and_begins_in_order(level):
-    """A number stands for one prompt, and the load walks the list in order."""
+    """Numbers identify prompts, and requests are sent in the order of the list."""
     requests = schedule(level)
     assert len({request.number for request in requests}) == len(requests)
     assert requests == sorted(requests, key=lambda request: request.start_s)
--- a/siskinthread/measurement/tests/test_slopes.py
+++ b/siskinthread/measurement/tests/test_slopes.py
@@ -6,7 +6,7 @@
 
 
 def test_costs_of_requests_and_tokens_are_told_apart():
-    """Levels of long and of short answers give both slopes back."""
+    """Levels with long and with short answers determine both slopes."""
     rates = [(100, 1600), (20, 5120), (40, 10240), (60, 15360)]
     points = [
         (requests, tokens, 0.02 + 2e-3 * requests + 4e-5 * tokens)
@@ -19,13 +19,13 @@
 
 
 def test_deviation_from_the_fit_is_stated():
-    """One level a tenth off shows in the largest error."""
+    """A level that deviates by a tenth shows in the largest error."""
     points = [(100, 1600, 0.28), (20, 5120, 0.26), (40, 10240, 0.55)]
     assert 0.02 < fit_slopes(points, 0.02).largest_error_share < 0.1
 
 
 def test_memory_of_a_stream():
-    """Resident memory over streams gives the part of each stream."""
+    """The fit of memory over streams gives the memory per stream."""
     without, each = fit_memory([(0, 40e6), (100, 43e6), (400, 52e6)])
     assert without == pytest.approx(40e6)
     assert each == pytest.approx(30e3)
