--- a/siskinthread/command_line/__init__.py
+++ b/siskinthread/command_line/__init__.py
@@ -1,10 +1,10 @@
-"""The operators' command line.
+"""Command line for operators.
 
-Interface: ``main(argv=None)`` returns the exit code: 0 if all went well, 2 for wrong
-usage or a bad file, 1 for any other failure.  Each group of subcommands is a module of
-its own that exports one `cappa` command class, listed in ``_root``.  A command returns
-its exit code or None for 0; a `DocumentError` that it raises is printed one problem a
-line, as ``file:line:column: message``.
+Interface: ``main(argv=None)`` returns the exit code: 0 for success, 2 for wrong usage
+or an invalid file, 1 for any other failure.  Each group of subcommands is a separate
+module with one `cappa` command class, which is listed in ``_root``.  A command returns
+its exit code, or None for 0.  The problems of a `DocumentError` that it raises are
+printed one per line as ``file:line:column: message``.
 """
 
 from siskinthread.command_line._files import read_text
--- a/siskinthread/command_line/_audit.py
+++ b/siskinthread/command_line/_audit.py
@@ -1,4 +1,4 @@
-"""The command that shows the audit trail."""
+"""Command that shows the audit trail."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -6,7 +6,7 @@
 import cappa
 
 from siskinthread.audit import AuditQuery, Kind, parse_since, read_trail
-from siskinthread.command_line._config import _operator_settings
+from siskinthread.command_line._config import load_operator_settings
 from siskinthread.command_line._output import print_text
 from siskinthread.timing import SYSTEM_CLOCK
 
@@ -54,4 +54,4 @@
         query = AuditQuery(
             since_ms, self.kind, self.audit_stream, self.ownership_stream
         )
-        print_text(read_trail(_operator_settings(self), query).render(self.json))
+        print_text(read_trail(load_operator_settings(self), query).render(self.json))
--- a/siskinthread/command_line/_config.py
+++ b/siskinthread/command_line/_config.py
@@ -55,9 +55,9 @@
     def __call__(self):
         settings = None
         if self.log is not None or self.settings is not None:
-            settings = _operator_settings(self)
-        report = operators.check_files(_texts(self.files), settings, self.replace)
-        return _print(report, self.json)
+            settings = load_operator_settings(self)
+        report = operators.check_files(_read_files(self.files), settings, self.replace)
+        return _print_report(report, self.json)
 
 
 @cappa.command(name="diff", help="Show what publishing files would change.")
@@ -72,9 +72,9 @@
     json: _Json = False
 
     def __call__(self):
-        settings = _operator_settings(self)
-        report = operators.diff_files(_texts(self.files), settings, self.replace)
-        return _print(report, self.json)
+        settings = load_operator_settings(self)
+        report = operators.diff_files(_read_files(self.files), settings, self.replace)
+        return _print_report(report, self.json)
 
 
 @cappa.command(
@@ -113,16 +113,16 @@
     message: Annotated[str, cappa.Arg(long="--message", help="Why.")] = ""
 
     def __call__(self):
-        settings = _operator_settings(self)
+        settings = load_operator_settings(self)
         request = operators.PublishRequest(
-            operators.read_files(_texts(self.files)),
+            operators.read_files(_read_files(self.files)),
             self.replace,
             self.author or getpass.getuser(),
             self.message,
             self.id,
             self.expect,
         )
-        return _print(operators.publish_files(settings, request), self.json)
+        return _print_report(operators.publish_files(settings, request), self.json)
 
 
 @cappa.command(name="show", help="Show the published configuration.")
@@ -142,8 +142,8 @@
         kind, _, name = self.what.partition("/")
         if kind and kind not in operators.KINDS:
             raise cappa.Exit(f"{kind!r} is no kind of object", code=2)
-        settings = _operator_settings(self)
-        return _print(
+        settings = load_operator_settings(self)
+        return _print_report(
             operators.show_state(settings, kind or None, name or None), self.json
         )
 
@@ -164,9 +164,9 @@
     json: _Json = False
 
     def __call__(self):
-        settings = _operator_settings(self)
+        settings = load_operator_settings(self)
         report = operators.show_history(settings, self.last, self.id)
-        return _print(report, self.json)
+        return _print_report(report, self.json)
 
 
 @cappa.command(
@@ -178,7 +178,8 @@
     """Print the digest of a bearer key."""
 
     def __call__(self):
-        # Never an argument: those show in the list of processes and shell histories.
+        # Read from standard input, as arguments are visible in process lists and shell
+        # histories.
         key = sys.stdin.readline().rstrip("\r\n")
         if not key:
             raise cappa.Exit("standard input holds no key", code=2)
@@ -200,11 +201,11 @@
     ]
 
 
-def _texts(file_names):
+def _read_files(file_names):
     return [(read_text(file_name), file_name) for file_name in file_names]
 
 
-def _operator_settings(command):
+def load_operator_settings(command):
     if command.settings is not None:
         text, source_name = read_text(command.settings), command.settings
         settings = load_section(operators.OperatorSettings, text, source_name)
@@ -224,6 +225,6 @@
         raise cappa.Exit(str(error), code=2) from error
 
 
-def _print(report, as_json):
+def _print_report(report, as_json):
     print(report.render(as_json))
     return report.exit_code
--- a/siskinthread/command_line/_daemons.py
+++ b/siskinthread/command_line/_daemons.py
@@ -1,4 +1,4 @@
-"""Commands that run a daemon."""
+"""Commands that run the daemons."""
 
 from dataclasses import dataclass
 from typing import Annotated
--- a/siskinthread/command_line/_experts.py
+++ b/siskinthread/command_line/_experts.py
@@ -1,4 +1,4 @@
-"""The command that shows the expert maps of groups and who controls them."""
+"""Command that shows the expert maps of groups and their controllers."""
 
 from dataclasses import dataclass
 from typing import Annotated
--- a/siskinthread/command_line/_files.py
+++ b/siskinthread/command_line/_files.py
@@ -1,4 +1,4 @@
-"""Files that operators name on the command line."""
+"""Reading of files that are named on the command line."""
 
 import pathlib
 
@@ -14,15 +14,17 @@
     Parameters
     ----------
     file_name : str
+        Path of the file.
 
     Returns
     -------
     str
+        Text of the file.
 
     Raises
     ------
     DocumentError
-        If the file can't be read or is not in UTF-8.
+        If the file can't be read or is not encoded in UTF-8.
     """
     try:
         content = pathlib.Path(file_name).read_bytes()
--- a/siskinthread/command_line/_main.py
+++ b/siskinthread/command_line/_main.py
@@ -1,4 +1,4 @@
-"""The entry point of the command line."""
+"""Entry point of the command line."""
 
 import sys
 
@@ -7,9 +7,9 @@
 from siskinthread.command_line._root import RootCommand
 from siskinthread.errors import DocumentError, InvariantError, SiskinthreadError
 
-FINE = 0
-FAILED = 1
-BAD_INPUT = 2
+EXIT_SUCCESS = 0
+EXIT_FAILURE = 1
+EXIT_BAD_INPUT = 2
 
 
 def main(argv=None):
@@ -18,25 +18,25 @@
     Parameters
     ----------
     argv : list of str or None
-        Arguments without the program's name; None for those of the process.
+        Arguments without the name of the program; None for those of the process.
 
     Returns
     -------
     int
-        Exit code: 0 if all went well, 2 for wrong usage or a bad file, 1 for any other
+        Exit code: 0 for success, 2 for wrong usage or an invalid file, 1 for any other
         failure.
     """
     try:
-        return cappa.invoke(RootCommand, argv=argv) or FINE
+        return cappa.invoke(RootCommand, argv=argv) or EXIT_SUCCESS
     except cappa.Exit as ended:
         return ended.code
     except DocumentError as error:
         for problem in error.problems:
             print(problem, file=sys.stderr)
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     except InvariantError:
-        # The process must stop with all that shows where the invariant broke.
+        # The process must end with a traceback that shows where the invariant broke.
         raise
     except SiskinthreadError as error:
         print(f"siskinthread: {error}", file=sys.stderr)
-        return FAILED
+        return EXIT_FAILURE
--- a/siskinthread/command_line/_measure.py
+++ b/siskinthread/command_line/_measure.py
@@ -1,4 +1,4 @@
-"""Commands that measure what the system costs and how well it decides."""
+"""Commands that measure the cost of the system and the quality of its decisions."""
 
 import json
 import sys
--- a/siskinthread/command_line/_output.py
+++ b/siskinthread/command_line/_output.py
@@ -1,4 +1,4 @@
-"""Results on the standard output."""
+"""Printing of results to standard output."""
 
 import os
 import sys
@@ -10,13 +10,14 @@
     Parameters
     ----------
     text : str
-        Text with its line ends.
+        Text, including line ends.
 
     Notes
     -----
-    A reader such as ``head`` ends before all is written.  The write then fails, and so
-    would the flush at the end of the process, with a traceback for what is no error.
-    The rest goes to the null device instead.
+    A reader such as ``head`` may close the pipe before the whole text is written.  The
+    write then fails, and the flush at the exit of the process would fail too and print
+    a traceback, although this is no error.  Standard output is therefore redirected to
+    the null device.
     """
     try:
         print(text, end="", flush=True)
--- a/siskinthread/command_line/_roles.py
+++ b/siskinthread/command_line/_roles.py
@@ -1,7 +1,7 @@
-"""The daemons and their settings.
+"""Daemons by role, and their settings.
 
-The daemons are imported only when a command needs them, so that ``--help`` and the
-operators' commands start without them.
+The daemons are imported only when a command needs them, so that ``--help`` and commands
+for operators start faster.
 """
 
 from typing import get_args, Literal
@@ -14,16 +14,17 @@
 
 
 def settings_class(role):
-    """Return the `Section` that a daemon's settings file is read to.
+    """Return the `Section` class of the settings of a daemon.
 
     Parameters
     ----------
     role : str
-        One of ``ROLES``.
+        Role in ``ROLES``.
 
     Returns
     -------
     type
+        Class of the settings.
     """
     from siskinthread import daemons
 
@@ -37,14 +38,14 @@
 
 
 def run_daemon(role, file_name):
-    """Run a daemon until it has stopped.
+    """Run a daemon until it stops.
 
     Parameters
     ----------
     role : str
         "entry" or "agent".
     file_name : str
-        Its settings file.
+        Path of its settings file.
 
     Returns
     -------
@@ -54,7 +55,7 @@
     Raises
     ------
     SettingsError
-        With every problem of the file.
+        If the file has problems; the error contains all of them.
     """
     from siskinthread import daemons
 
--- a/siskinthread/command_line/_root.py
+++ b/siskinthread/command_line/_root.py
@@ -1,4 +1,4 @@
-"""The tree of commands."""
+"""Root command with all daemons and groups of subcommands."""
 
 from dataclasses import dataclass
 
@@ -13,8 +13,7 @@
 from siskinthread.command_line._status import StatusCommand
 from siskinthread.command_line._trace import TraceCommand
 
-# One line for each daemon and each group of subcommands; a new group is imported above
-# and added here.
+# One line for each daemon and each group of subcommands.
 Commands = (
     EntryCommand
     | AgentCommand
--- a/siskinthread/command_line/_settings.py
+++ b/siskinthread/command_line/_settings.py
@@ -39,7 +39,7 @@
     def __call__(self):
         text = read_text(self.file)
         if self.host:
-            # Imported here, so that the other commands start without it.
+            # Imported here, so that other commands start faster.
             from siskinthread.platform import read_host_settings
 
             settings = read_host_settings(text, self.file)
--- a/siskinthread/command_line/_status.py
+++ b/siskinthread/command_line/_status.py
@@ -1,4 +1,4 @@
-"""The command that shows which configuration is in force where."""
+"""Command that shows which configuration is in force on which hosts."""
 
 from dataclasses import dataclass
 from typing import Annotated
--- a/siskinthread/command_line/_trace.py
+++ b/siskinthread/command_line/_trace.py
@@ -1,4 +1,4 @@
-"""The command that follows a request's id through log files."""
+"""Command that finds the log lines of a request in log files."""
 
 from dataclasses import dataclass
 from typing import Annotated
--- a/siskinthread/command_line/tests/test_command_line.py
+++ b/siskinthread/command_line/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""Tests of the command line: bad files, wrong usage and exit codes."""
+"""Tests of the command line: invalid files, wrong usage and exit codes."""
 
 import os
 import sys
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def daemons(monkeypatch):
-    """Daemons that only note the settings they were started with."""
+    """Stub of the daemons that records the settings of each start."""
     started = []
     stub = types.SimpleNamespace(
         EntrySettings=FakeEntrySettings,
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def write(tmp_path, monkeypatch):
-    """Write a file in the working directory."""
+    """Function that writes a file in the working directory and returns its name."""
     monkeypatch.chdir(tmp_path)
 
     def write_file(content, name="file.json"):
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("role", ["entry", "agent"])
 def test_daemon_gets_its_settings(daemons, write, role):
-    """A good file starts the daemon of the role with the settings object whole."""
+    """A valid file starts the daemon of the role with all its settings."""
     name = write(
         '{"listen": "127.0.0.1:80", %s}' % ("" if role == "entry" else "name: 'a'")
     )
@@ -64,7 +64,7 @@
 
 
 def test_daemon_does_not_start_with_a_bad_file(daemons, write, capsys):
-    """Every problem is one line on the error output, and nothing runs."""
+    """Each problem is one line on standard error, and no daemon starts."""
     name = write('{"listen": "here:80",\n "link_limt": 2,\n "link_limit": 0}')
     assert main(["entry", "--settings", name]) == 2
     output = capsys.readouterr()
@@ -86,14 +86,14 @@
     ],
 )
 def test_unreadable_content_is_a_bad_file(daemons, write, capsys, content, expected):
-    """A file that is no text is refused with the place of the first bad byte."""
+    """A file that is not JSON in UTF-8 is rejected with the place of the error."""
     assert main(["settings", "check", write(content), "--role", "entry"]) == 2
     assert capsys.readouterr().err.splitlines() == [expected]
 
 
 @pytest.mark.parametrize("name", ["absent.json", ".", "a\0b"])
 def test_file_that_can_not_be_opened_is_a_bad_file(daemons, write, capsys, name):
-    """A missing file, a folder and a bad name give one line and no traceback."""
+    """A missing file, a directory or an invalid name gives one line, no traceback."""
     write("{}")
     assert main(["agent", "--settings", name]) == 2
     (line,) = capsys.readouterr().err.splitlines()
@@ -101,7 +101,7 @@
 
 
 def test_check_finds_the_role_that_fits(daemons, write, capsys):
-    """Without a role, the problems are those of the role that fits best."""
+    """Without a role, the problems for the best-fitting role are printed."""
     good = write('{"listen": "127.0.0.1:80", "name": "a"}', "good.json")
     assert main(["settings", "check", good]) == 0
     assert capsys.readouterr().out == "good.json: fine for the agent daemon\n"
@@ -115,17 +115,17 @@
 
 @pytest.mark.parametrize("role", ["entry", "agent"])
 def test_shown_example_passes_the_check(write, capsys, role):
-    """What `settings show` prints for the real daemons is accepted by the check."""
+    """The example that ``settings show`` prints for a daemon passes the check."""
     assert main(["settings", "show", "--role", role]) == 0
     name = write(capsys.readouterr().out)
     assert main(["settings", "check", name, "--role", role]) == 0
 
 
 def test_reader_that_ends_early_is_no_error(daemons, monkeypatch):
-    """A result that nobody reads to its end is no failure.
+    """A reader that closes the pipe early does not cause a failure.
 
-    Symptom: a traceback behind the output of ``settings show | head -1``.  Sequence:
-    the reader ends, the next write fails.  Cause: the pipe has no reader any more.
+    Guards against a traceback after the output of ``settings show | head -1``: the
+    reader ends, and the next write to the pipe fails.
     """
     read_end, write_end = os.pipe()
     os.close(read_end)
@@ -148,7 +148,7 @@
     ],
 )
 def test_wrong_usage_gives_code_2(daemons, capsys, arguments):
-    """Wrong usage is explained on the error output and runs nothing."""
+    """Wrong usage gives a message on standard error, and no daemon starts."""
     assert main(arguments) == 2
     output = capsys.readouterr()
     assert output.out == ""
@@ -160,7 +160,7 @@
     "arguments", [[], ["entry"], ["agent"], ["settings"], ["settings", "check"]]
 )
 def test_help_is_no_error(capsys, arguments):
-    """Every command explains itself on the standard output."""
+    """Every command prints its help to standard output."""
     assert main([*arguments, "--help"]) == 0
     output = capsys.readouterr()
     assert output.out.startswith("Usage: siskinthread")
@@ -168,7 +168,7 @@
 
 
 def test_failure_of_a_command_gives_code_1(daemons, write, capsys):
-    """An error that is no fault of the file is one line and code 1."""
+    """An error with another cause than the file gives one line and code 1."""
 
     def run_entry(settings):
         raise PlatformUnavailableError("no answer from the log")
@@ -179,7 +179,7 @@
 
 
 def test_broken_invariant_is_not_caught(daemons, write):
-    """A broken invariant stops the process with its traceback."""
+    """An `InvariantError` ends the process with its traceback."""
 
     def run_entry(settings):
         raise InvariantError("two owners")
@@ -190,7 +190,7 @@
 
 
 def test_host_settings_of_the_platform_are_checked(write, capsys):
-    """Every problem of a file that the platform writes is named with its field."""
+    """Each problem of a settings file of the platform names its field."""
     name = write('node = "front-a-1"\nzone = 5\n', "host.toml")
     assert main(["settings", "check", "--host", name]) == 2
     error = capsys.readouterr().err
@@ -199,7 +199,7 @@
 
 
 def test_trace_finds_a_request_or_says_that_it_does_not(write, capsys):
-    """The exit code tells scripts which of both."""
+    """The exit code shows whether the request was found."""
     line = (
         '{"at":10.0,"event":"gateway: request ended","id":"id-1","route":"r",'
         '"service":"s","account":null,"version":1,"configuration_age_s":0.1,'
