--- a/siskinthread/audit/_archiver.py
+++ b/siskinthread/audit/_archiver.py
@@ -50,8 +50,8 @@
             self.target = None
             # Must precede `note`, which draws a new deadline when it sees the copy: a
             # later pause would replace that deadline.
-            self.schedule.put_off()
-        self.schedule.note(records, done_through)
+            self.schedule.postpone()
+        self.schedule.observe(records, done_through)
         if self.target is None and self.schedule.due():
             self.target = newest
 
@@ -212,7 +212,7 @@
             self._troubles.labels(condition="stream_lost_records").inc()
             _LOG.error("Audit stream lost records; appending all known entries again.")
             self._archive_round = CopyRound(self._new_schedule())
-            self._archive_round.schedule.note_unknown_base()
+            self._archive_round.schedule.observe_unknown_base()
         oldest = archive.oldest_offset()
         if oldest is not None:
             newest = archive.newest_offset()
--- a/siskinthread/configuration/__init__.py
+++ b/siskinthread/configuration/__init__.py
@@ -19,7 +19,7 @@
     Policy,
     Service,
 )
-from siskinthread.configuration._peers import chosen_readers, is_whole_status
+from siskinthread.configuration._peers import chosen_readers, is_complete_status
 from siskinthread.configuration._selector import Selector
 from siskinthread.configuration._settings import ConfigurationSettings
 from siskinthread.configuration._state import digest_key, State
@@ -43,5 +43,5 @@
     "chosen_readers",
     "digest_key",
     "follow_log",
-    "is_whole_status",
+    "is_complete_status",
 ]
--- a/siskinthread/configuration/_exchange.py
+++ b/siskinthread/configuration/_exchange.py
@@ -1,6 +1,10 @@
 """Exchange of records with peers."""
 
-from siskinthread.configuration._peers import is_whole_status, MergeOutcome, own_status
+from siskinthread.configuration._peers import (
+    is_complete_status,
+    MergeOutcome,
+    own_status,
+)
 from siskinthread.observability import part_logger
 from siskinthread.wire import ConfigurationRequest
 
@@ -105,7 +109,7 @@
         asked_at_ms = self._clock.unix_ms()
         request = ConfigurationRequest(own_status(self._reader.fold))
         updates = await self._peers.ask(request, starting)
-        updates = [item for item in updates if is_whole_status(item.status)]
+        updates = [item for item in updates if is_complete_status(item.status)]
         updates.sort(key=lambda update: update.status.applied_offset, reverse=True)
         merges = []
         for update in updates:
--- a/siskinthread/configuration/_follower.py
+++ b/siskinthread/configuration/_follower.py
@@ -217,9 +217,9 @@
         for merged in await self._exchange.ask(starting):
             if merged.outcome is not MergeOutcome.ADVANCED:
                 continue
-            self._schedule.note(merged.records, self._reader.base_offset)
+            self._schedule.observe(merged.records, self._reader.base_offset)
             if not merged.records:
-                self._schedule.note_unknown_base()
+                self._schedule.observe_unknown_base()
             self._advance(merged.fold)
 
     def _record_reading(self, reading):
@@ -228,7 +228,7 @@
         for offset in reading.diverged_offsets:
             self._troubles.labels(condition="diverged").inc()
             _LOG.error("The snapshot at %d differs from the local state.", offset)
-        self._schedule.note(reading.records, self._reader.base_offset)
+        self._schedule.observe(reading.records, self._reader.base_offset)
 
     def _advance(self, fold):
         self._gauges["offset"].set(fold.applied_offset)
@@ -252,7 +252,7 @@
         bodies = await curio.run_in_thread(encode_snapshot, self._reader.fold, limit)
         for body in bodies:
             await self._client.append(self._settings.configuration_stream, body)
-        self._schedule.put_off()
+        self._schedule.postpone()
         self._snapshots.inc()
         _LOG.info("Wrote a snapshot in %d records.", len(bodies))
 
--- a/siskinthread/configuration/_peers.py
+++ b/siskinthread/configuration/_peers.py
@@ -158,7 +158,7 @@
     ConfigurationUpdate
         Contains the records after `base`, or a snapshot if these are no longer kept.
     """
-    if not is_whole_status(base):
+    if not is_complete_status(base):
         base = own_status(None)
     update = ConfigurationUpdate(status, base, [], [], False)
     if status.applied_offset <= base.applied_offset:
@@ -234,7 +234,7 @@
     return _fold_records(update.records, fold, recent)
 
 
-def is_whole_status(status):
+def is_complete_status(status):
     """Return whether a `ConfigurationStatus` from a peer has its required fields.
 
     Thrift sets fields that weren't sent to None.  Without this check, such a field
@@ -248,7 +248,7 @@
 
 
 def _is_complete(update):
-    statuses = is_whole_status(update.status) and is_whole_status(update.base)
+    statuses = is_complete_status(update.status) and is_complete_status(update.base)
     if not statuses or update.records is None or update.snapshot is None:
         return False
     return all(_is_complete_item(item) for item in update.records)
--- a/siskinthread/configuration/_schedule.py
+++ b/siskinthread/configuration/_schedule.py
@@ -47,7 +47,7 @@
         self._not_before = None
         self.deadline = None
 
-    def note(self, records, base_offset):
+    def observe(self, records, base_offset):
         """Update the deadline after records were folded.
 
         Parameters
@@ -78,7 +78,7 @@
             self._record_limit_reached = True
             self._bring_forward()
 
-    def note_unknown_base(self):
+    def observe_unknown_base(self):
         """Bring the deadline forward after the state came from a peer.
 
         The age of the newest snapshot in the log is then unknown, and the needed
@@ -87,7 +87,7 @@
         """
         self._bring_forward()
 
-    def put_off(self):
+    def postpone(self):
         """Postpone the next snapshot after this node wrote one.
 
         Applies whether or not the node reads its own snapshot from the log.  Without
--- a/siskinthread/configuration/tests/test_follower.py
+++ b/siskinthread/configuration/tests/test_follower.py
@@ -246,9 +246,9 @@
     settings = ConfigurationSettings(snapshot_after_records=5, snapshot_spread_s=60.0)
     clock = ManualClock(unix_ms=START_MS)
     schedule = SnapshotSchedule(settings, clock, random.Random(1))
-    schedule.note([LogRecord(offset, START_MS, b"") for offset in range(4)], -1)
+    schedule.observe([LogRecord(offset, START_MS, b"") for offset in range(4)], -1)
     assert schedule.deadline.left_s() >= DAY_S * 0.25
-    schedule.note([LogRecord(4, START_MS, b"")], -1)
+    schedule.observe([LogRecord(4, START_MS, b"")], -1)
     assert schedule.deadline.left_s() <= 60.0
 
 
--- a/siskinthread/control/_peer_links.py
+++ b/siskinthread/control/_peer_links.py
@@ -2,7 +2,7 @@
 
 import curio
 
-from siskinthread.configuration import is_whole_status
+from siskinthread.configuration import is_complete_status
 
 
 class PeerLink:
@@ -87,7 +87,7 @@
             # A late answer to an earlier question.
             return
         self._answer = update
-        if is_whole_status(update.status):
+        if is_complete_status(update.status):
             self.asked_offset = update.status.applied_offset
         await self._answered.set()
 
--- a/siskinthread/daemons/_entry.py
+++ b/siskinthread/daemons/_entry.py
@@ -123,7 +123,7 @@
             RetryBudget(settings.admission, clock),
             clock,
             metrics,
-            want_link=self._add_home,
+            request_link=self._add_home,
         )
         admission = Admission(
             settings.admission,
--- a/siskinthread/dispatch/_choice.py
+++ b/siskinthread/dispatch/_choice.py
@@ -94,7 +94,7 @@
         excluded = frozenset() if self._has_key else self._tried_hosts
         host = self._dispatcher.router.choose(self._request, excluded)
         if self._has_key and host is not None:
-            self._dispatcher.want_link(host)
+            self._dispatcher.request_link(host)
         # A link that is down would queue the request, and the caller would learn that
         # it was not run too late to retry elsewhere.
         return host if self._dispatcher.is_connected(host) else None
--- a/siskinthread/dispatch/_dispatcher.py
+++ b/siskinthread/dispatch/_dispatcher.py
@@ -28,7 +28,7 @@
         Registry of the metrics.
     randomness : random.Random or None
         Random source of the back-off's jitter; a new one if None.
-    want_link : callable or None
+    request_link : callable or None
         Called with the host name of a key's home to which there is no link.
     """
 
@@ -54,7 +54,7 @@
         clock,
         metrics,
         randomness=None,
-        want_link=None,
+        request_link=None,
     ):
         self.settings = settings
         self.view = view
@@ -64,7 +64,7 @@
         self.clock = clock
         self.measures = DispatchMeasures(metrics)
         self._randomness = randomness or random.Random()
-        self._want_link = want_link
+        self._want_link = request_link
 
     async def begin(self, request):
         """Return the `Answer` to a request.
@@ -87,7 +87,7 @@
         status = self.links.status(host)
         return status is not None and status.connected
 
-    def want_link(self, host):
+    def request_link(self, host):
         """Request a link to a key's home unless a link exists."""
         if self._want_link is not None and self.links.status(host) is None:
             self._want_link(host)
--- a/siskinthread/dispatch/tests/test_keys.py
+++ b/siskinthread/dispatch/tests/test_keys.py
@@ -63,7 +63,7 @@
         bench.budget,
         bench.clock,
         bench.metrics,
-        want_link=wanted.append,
+        request_link=wanted.append,
     )
     bench.links.status = lambda host: None
     (final,) = run(bench, key=KEY)
--- a/siskinthread/ownership/_claimer.py
+++ b/siskinthread/ownership/_claimer.py
@@ -238,7 +238,7 @@
         for verdict in reading.verdicts:
             self._record_verdict(verdict)
         records = [verdict.record for verdict in reading.verdicts]
-        self._snapshot_schedule.note(records, self._base_offset)
+        self._snapshot_schedule.observe(records, self._base_offset)
         self._view.replace(self._reader.fold.owners)
 
     def _record_verdict(self, verdict):
@@ -258,7 +258,7 @@
         if not self._snapshot_schedule.due() or not self._owns_any():
             return
         body = encode_snapshot(self._reader.fold.snapshot())
-        self._snapshot_schedule.put_off()
+        self._snapshot_schedule.postpone()
         await self._client.append(self._stream, body)
         self._counts.labels(event="copied").inc()
 
