--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the targets; separate processes for tests."""
+"""Stand-ins for the platform and for targets, run in tests as separate processes."""
--- a/standins/_batching.py
+++ b/standins/_batching.py
@@ -1,4 +1,4 @@
-"""Continuous batching: every step makes one token for each running request."""
+"""Continuous batching: every step generates one token for each running request."""
 
 import heapq
 import itertools
@@ -17,13 +17,13 @@
     Parameters
     ----------
     request_id : str
-        Id given by the agent.
+        Id that the agent assigned.
     content : dict
         The request as parsed from JSON.
     priority : int
         0 is the most urgent.
     idempotency_key : str or None
-        The caller's key.
+        Idempotency key of the caller.
     """
 
     __slots__ = (
@@ -34,7 +34,7 @@
         "finished",
         "idempotency_key",
         "indices",
-        "made",
+        "generated_count",
         "priority",
         "request_id",
         "streamed",
@@ -47,19 +47,19 @@
         self.idempotency_key = idempotency_key
         self.indices = token_indices(content)
         self.streamed = bool(content.get("stream"))
-        self.made = 0
+        self.generated_count = 0
         self.body = bytearray()
         self.finished = False
         self.cancelled = False
         self.changed = curio.Event()
 
     def step(self):
-        """Make the next token; return whether the body or the state changed."""
-        if self.made < len(self.indices):
+        """Generate the next token; return whether the body or the state changed."""
+        if self.generated_count < len(self.indices):
             if self.streamed:
-                self.body += EVENTS[self.indices[self.made]]
-            self.made += 1
-        if self.made < len(self.indices):
+                self.body += EVENTS[self.indices[self.generated_count]]
+            self.generated_count += 1
+        if self.generated_count < len(self.indices):
             return self.streamed
         self.body += DONE_EVENT if self.streamed else whole_answer(self.content)
         self.finished = True
@@ -74,13 +74,13 @@
     options : argparse.Namespace
         With ``step_ms`` and ``batch_capacity``.
     ledger : standins._ledger.Ledger
-        Where runs are counted, at the time that a request joins the batch.
+        Counts a run when its request joins the batch.
     """
 
     __slots__ = (
         "_arrived",
         "_ledger",
-        "_order",
+        "_arrival_numbers",
         "_waiting",
         "batch_capacity",
         "running",
@@ -99,21 +99,21 @@
         self.tokens = 0
         self._ledger = ledger
         self._waiting = []
-        self._order = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._arrived = curio.Event()
 
     @property
     def waiting_count(self):
-        """Number of requests that have not joined the batch."""
+        """Number of uncancelled requests that have not joined the batch."""
         return sum(not run.cancelled for _, _, run in self._waiting)
 
     async def add(self, run):
-        """Queue a run behind those of the same or a more urgent priority."""
-        heapq.heappush(self._waiting, (run.priority, next(self._order), run))
+        """Queue a run behind all runs of the same or a more urgent priority."""
+        heapq.heappush(self._waiting, (run.priority, next(self._arrival_numbers), run))
         await self._arrived.set()
 
     async def cancel(self, run):
-        """End a run; one that only waits never starts."""
+        """End a run; a run that is still queued never starts."""
         run.cancelled = True
         await run.changed.set()
 
@@ -128,7 +128,8 @@
             next_step_at_s += self.step_ms / MILLISECONDS_PER_SECOND
             left_s = next_step_at_s - time.monotonic()
             if left_s < 0:
-                # An engine that can't keep its step time does not hurry afterwards.
+                # An engine that falls behind its step time does not catch up by shorter
+                # steps.
                 next_step_at_s = time.monotonic()
             await curio.sleep(max(0.0, left_s))
             if not self.stalled:
@@ -141,7 +142,7 @@
         self.tokens += len(self.running)
         for run in changed:
             if run.finished:
-                self._ledger.note_finished(run.request_id)
+                self._ledger.count_finished(run.request_id)
             await run.changed.set()
         self.running = [run for run in self.running if not run.finished]
 
@@ -151,5 +152,5 @@
             _, _, run = heapq.heappop(self._waiting)
             if run.cancelled:
                 continue
-            self._ledger.note_run(run.request_id, run.idempotency_key)
+            self._ledger.count_run(run.request_id, run.idempotency_key)
             self.running.append(run)
--- a/standins/_http_server.py
+++ b/standins/_http_server.py
@@ -1,4 +1,4 @@
-"""Small HTTP server that every stand-in shares, on curio and h11."""
+"""HTTP server of the stand-ins, on curio and h11."""
 
 import json
 import socket
@@ -17,7 +17,7 @@
 
 
 class Request:
-    """One whole request.
+    """A complete request.
 
     Parameters
     ----------
@@ -28,9 +28,9 @@
     query : dict of str to str
         Parameters of the query.
     headers : dict of str to str
-        Headers by lower-case name; the last one of a name counts.
+        Headers by lower-case name; the last header of a name wins.
     body : bytes
-        The whole body.
+        Complete body.
     """
 
     __slots__ = ("body", "headers", "method", "path", "query")
@@ -43,12 +43,12 @@
         self.body = body
 
     def json(self):
-        """Return the body read as JSON; an empty body is an empty object."""
+        """Return the body parsed as JSON; an empty body is an empty object."""
         return json.loads(self.body) if self.body else {}
 
 
 class Exchange:
-    """One connection, which answers one request after the other.
+    """A connection that answers its requests one after the other.
 
     Parameters
     ----------
@@ -63,7 +63,7 @@
         self._connection = h11.Connection(h11.SERVER)
 
     async def receive(self):
-        """Return the next `Request`, or None when the caller is gone."""
+        """Return the next `Request`, or None if the caller has disconnected."""
         head = await self._next_event()
         if not isinstance(head, h11.Request):
             return None
@@ -77,7 +77,7 @@
             body += event.data
 
     async def answer(self, status, body, content_type="application/json", more=()):
-        """Send a whole response with its length and further headers."""
+        """Send a complete response with its length and the headers of `more`."""
         headers = [("content-type", content_type), ("content-length", str(len(body)))]
         headers += more
         send = self._connection.send
@@ -138,7 +138,7 @@
     host : str
         IP number to listen on.
     port : int
-        TCP port; 0 lets the system choose.
+        TCP port; with 0 the system assigns a free port.
     """
 
     __slots__ = ("_handler", "_listener", "_task", "host", "port")
@@ -172,8 +172,8 @@
                 if not exchange.next_cycle():
                     return
         except (OSError, h11.ProtocolError, CloseConnection):
-            # The caller left, sent no HTTP, or the handler wants it cut off: each is
-            # an ordinary end of this connection and concerns no other one.
+            # The caller disconnected, sent invalid HTTP, or the handler closes the
+            # connection: each ends this connection only.
             return
 
 
@@ -187,7 +187,7 @@
     options : argparse.Namespace
         With ``host`` and ``port``.
     background : callable or None
-        ``async background()`` runs beside the server.
+        ``async background()`` that runs concurrently with the server.
     """
 
     async def main():
--- a/standins/_ledger.py
+++ b/standins/_ledger.py
@@ -1,8 +1,8 @@
-"""Counts, kept by the target itself, of how often each request really ran."""
+"""Counts, kept by the target itself, of how often each request ran."""
 
 
 class LedgerEntry:
-    """What is known of one request."""
+    """Runs of one request."""
 
     __slots__ = ("finished", "idempotency_key", "runs")
 
@@ -17,9 +17,9 @@
 
     Notes
     -----
-    It is the judge of "at most once" and of "refused, not run": it stands in the
-    target, beyond all of the system's own processes, so that no fault of those can
-    hide a run.
+    The ledger is the reference for checks of "at most once" and of "refused, not run".
+    It is kept in the target, outside all processes of the system under test, so that no
+    fault of theirs can hide a run.
     """
 
     __slots__ = ("_entries",)
@@ -27,19 +27,19 @@
     def __init__(self):
         self._entries = {}
 
-    def note_run(self, request_id, idempotency_key):
-        """Count that a request began to run."""
+    def count_run(self, request_id, idempotency_key):
+        """Count a started run of a request."""
         entry = self._entries.get(request_id)
         if entry is None:
             entry = self._entries[request_id] = LedgerEntry(idempotency_key)
         entry.runs += 1
 
-    def note_finished(self, request_id):
-        """Count that a run came to its end."""
+    def count_finished(self, request_id):
+        """Count a finished run of a request."""
         self._entries[request_id].finished += 1
 
     def as_json(self):
-        """Return the ledger as ``GET /ledger`` shows it."""
+        """Return the ledger as ``GET /ledger`` answers it."""
         return {
             request_id: {
                 "runs": entry.runs,
--- a/standins/_prefix_cache.py
+++ b/standins/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""Prompt-prefix cache of the engine stand-in and its unreliable events."""
+"""Prompt-prefix cache of the engine stand-in, with delayed and lost events."""
 
 import collections
 import json
@@ -8,11 +8,11 @@
 import xxhash
 
 PREFIX_LENGTH_BYTES = 2048
-"""Bytes of the messages that count as the prompt's prefix."""
+"""Length of the head of the messages that is the prompt's prefix."""
 
 
 class CacheEvent:
-    """One change of the cache."""
+    """A change of the cache."""
 
     __slots__ = ("kind", "prefix_key", "sequence", "visible_at_s")
 
@@ -23,7 +23,7 @@
         self.visible_at_s = visible_at_s
 
     def as_json(self):
-        """Return the event as the protocol shows it."""
+        """Return the event as the protocol encodes it."""
         return {
             "sequence": self.sequence,
             "kind": self.kind,
@@ -32,7 +32,10 @@
 
 
 class PrefixCache:
-    """Least recently used prefixes, with events that come late and with gaps.
+    """Cache that evicts the least recently used prefix.
+
+    Its events become visible after a lag, and some are lost, which leaves gaps in their
+    sequence numbers.
 
     Parameters
     ----------
@@ -51,20 +54,20 @@
         self.hits = 0
 
     def touch(self, prefix_key):
-        """Note the use of a prefix; return whether it was in the cache."""
+        """Use a prefix; return whether it was in the cache."""
         if prefix_key in self._keys:
             self._keys.move_to_end(prefix_key)
             self.hits += 1
             return True
         self._keys[prefix_key] = True
-        self._note("stored", prefix_key)
+        self._emit_event("stored", prefix_key)
         if len(self._keys) > self._options.cache_size:
             evicted, _ = self._keys.popitem(last=False)
-            self._note("evicted", evicted)
+            self._emit_event("evicted", evicted)
         return False
 
     def events(self, from_sequence):
-        """Return the events that are visible by now, as JSON values."""
+        """Return the visible events from a sequence number on, as JSON values."""
         now_s = time.monotonic()
         return [
             event.as_json()
@@ -72,7 +75,7 @@
             if event.sequence >= from_sequence and event.visible_at_s <= now_s
         ]
 
-    def _note(self, kind, prefix_key):
+    def _emit_event(self, kind, prefix_key):
         sequence = self._next_sequence
         self._next_sequence += 1
         if self._random.random() < self._options.cache_loss:
@@ -82,7 +85,7 @@
 
 
 def prefix_key(content):
-    """Return the key of the prompt's head, as the entries compute it."""
+    """Return the key of the prompt's prefix, computed as the entries compute it."""
     model = str(content.get("model", ""))
     digest = xxhash.xxh3_128(model.encode("utf-8", "surrogatepass"))
     left = PREFIX_LENGTH_BYTES
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,7 +1,7 @@
 """Stand-in of a model engine.
 
-Run it with ``python -m standins.engine --port 0``.  Beside the engine's protocol
-(docs/protocol.md) it answers ``GET /ledger`` and ``GET /counts``, and takes
+Run it with ``python -m standins.engine --port 0``.  In addition to the engine's
+protocol (docs/protocol.md) it answers ``GET /ledger`` and ``GET /counts``, and accepts
 ``POST /faults`` with ``stall`` (bool) and ``step_ms``.
 """
 
@@ -22,7 +22,7 @@
 
 
 class LoadSample:
-    """The load at a point of the monotonic clock."""
+    """Load of the engine, with the monotonic time at which it was sampled."""
 
     __slots__ = ("running", "taken_at_s", "waiting")
 
@@ -33,7 +33,7 @@
 
 
 class EngineStandin:
-    """The engine.
+    """Engine that generates tokens in batches.
 
     Parameters
     ----------
@@ -63,7 +63,7 @@
         self._orders = []
 
     async def run(self):
-        """Make tokens until cancelled."""
+        """Generate tokens until cancelled."""
         await self._batcher.run()
 
     async def handle(self, request, exchange):
@@ -166,8 +166,9 @@
     await exchange.begin_stream(200, "text/event-stream")
     sent = offset_bytes
     while True:
-        # A slow reader or a busy process finds several tokens here and sends them in
-        # one piece; a write for each token would double the cost of a token.
+        # If the reader is slow or the process is busy, several tokens have accumulated
+        # here and are sent in one write; one write per token would double the cost
+        # of a token.
         run.changed.clear()
         if sent < len(run.body):
             data = bytes(run.body[sent:])
--- a/standins/host_list.py
+++ b/standins/host_list.py
@@ -1,9 +1,9 @@
 """Stand-in of the platform's host list.
 
 Run it with ``python -m standins.host_list --port 0 --lag-s 1``.  ``GET /hosts`` answers
-the list; ``PUT /hosts/NAME`` with a host entry and ``DELETE /hosts/NAME`` change it, to
-be seen only after the lag.  ``POST /faults`` takes ``down`` (bool), ``delay_ms`` and
-``empty`` (bool: the list answers no host at all).
+the list; ``PUT /hosts/NAME`` with a host entry and ``DELETE /hosts/NAME`` change it,
+visibly only after the lag.  ``POST /faults`` accepts ``down`` (bool), ``delay_ms`` and
+``empty`` (bool: the answered list has no hosts).
 """
 
 import argparse
@@ -20,7 +20,7 @@
 
 
 class Change:
-    """A change that becomes visible at a point of the monotonic clock."""
+    """A change of one entry, with the monotonic time at which it becomes visible."""
 
     __slots__ = ("entry", "name", "visible_at_s")
 
@@ -31,7 +31,7 @@
 
 
 class HostListStandin:
-    """The service.
+    """Host list whose changes become visible after a lag.
 
     Parameters
     ----------
@@ -79,7 +79,7 @@
             raise CloseConnection
         if self.delay_ms:
             await curio.sleep(self.delay_ms / MILLISECONDS_PER_SECOND)
-        self._apply_visible()
+        self._apply_due_changes()
         tag = f'"{self._applied_count}-{self.empty}"'
         if request.headers.get("if-none-match") == tag:
             await exchange.answer(304, b"", more=[("etag", tag)])
@@ -94,7 +94,7 @@
         visible_at_s = time.monotonic() + self._options.lag_s
         self._changes.append(Change(visible_at_s, name, entry))
 
-    def _apply_visible(self):
+    def _apply_due_changes(self):
         now_s = time.monotonic()
         while self._changes and self._changes[0].visible_at_s <= now_s:
             change = self._changes.popleft()
--- a/standins/log.py
+++ b/standins/log.py
@@ -1,9 +1,10 @@
 """Stand-in of the platform's append-only log service.
 
-Run it with ``python -m standins.log --port 0``.  Beside the protocol of the service it
-takes ``POST /faults`` with any of ``down`` (bool), ``lose_answers`` (number of appends
-that take effect but are not answered), ``delay_ms`` and ``truncate_to`` (with an
-optional ``stream``: the records from that offset on vanish).
+Run it with ``python -m standins.log --port 0``.  In addition to the protocol of the
+service it accepts ``POST /faults`` with any of ``down`` (bool), ``lose_answers``
+(number of appends that take effect but are not answered), ``delay_ms`` and
+``truncate_to`` (records from this offset on are dropped, in all streams or only in
+``stream``).
 """
 
 import argparse
@@ -16,13 +17,13 @@
 from standins._http_server import add_server_options, CloseConnection, run_standin
 
 MILLISECONDS_PER_SECOND = 1000
-LONGEST_APPEND_QUEUE_S = 1.0
+APPEND_QUEUE_LIMIT_S = 1.0
 DEFAULT_READ_LIMIT = 500
 STREAMS_PREFIX = "/streams/"
 
 
 class Record:
-    """One kept record."""
+    """A retained record."""
 
     __slots__ = ("at_ms", "body", "offset")
 
@@ -32,13 +33,13 @@
         self.body = body
 
     def as_json(self):
-        """Return the record as the protocol shows it."""
+        """Return the record as the protocol encodes it."""
         body = base64.b64encode(self.body).decode("ascii")
         return {"offset": self.offset, "at_ms": self.at_ms, "body": body}
 
 
 class Stream:
-    """One stream of records."""
+    """A stream of records."""
 
     __slots__ = ("appended", "next_offset", "records")
 
@@ -49,7 +50,7 @@
 
     @property
     def first_offset(self):
-        """Offset of the oldest kept record, or of the next one if none is kept."""
+        """Offset of the oldest retained record, or of the next record if none is."""
         return self.records[0].offset if self.records else self.next_offset
 
     async def append(self, body):
@@ -62,14 +63,14 @@
         return offset
 
     def expire(self, keep_records, keep_age_s):
-        """Drop the records that are over the number or the age to be kept."""
+        """Drop the records beyond the retained number or the retained age."""
         oldest_ms = _unix_ms() - keep_age_s * MILLISECONDS_PER_SECOND
         records = self.records
         while records and (len(records) > keep_records or records[0].at_ms < oldest_ms):
             records.popleft()
 
     def truncate(self, next_offset):
-        """Drop the records from an offset on, as a store that lost its tail."""
+        """Drop the records from an offset on, as a log that lost its newest records."""
         while self.records and self.records[-1].offset >= next_offset:
             self.records.pop()
         self.next_offset = min(self.next_offset, next_offset)
@@ -84,7 +85,7 @@
 
 
 class LogStandin:
-    """The service.
+    """Log service with a limited rate of appends.
 
     Parameters
     ----------
@@ -135,7 +136,7 @@
             await self._read(request, exchange)
 
     async def _append(self, request, exchange):
-        if not await self._take_turn():
+        if not await self._wait_for_append_slot():
             await exchange.answer_json(429, {"error": "too many appends"})
             return
         self.appends += 1
@@ -165,14 +166,14 @@
     def _stream(self, request):
         return self.streams[request.path.removeprefix(STREAMS_PREFIX)]
 
-    async def _take_turn(self):
+    async def _wait_for_append_slot(self):
         now_s = time.monotonic()
-        turn_at_s = max(now_s, self._next_append_at_s)
-        if turn_at_s - now_s > LONGEST_APPEND_QUEUE_S:
+        append_at_s = max(now_s, self._next_append_at_s)
+        if append_at_s - now_s > APPEND_QUEUE_LIMIT_S:
             return False
-        self._next_append_at_s = turn_at_s + 1 / self._options.appends_per_s
-        if turn_at_s > now_s:
-            await curio.sleep(turn_at_s - now_s)
+        self._next_append_at_s = append_at_s + 1 / self._options.appends_per_s
+        if append_at_s > now_s:
+            await curio.sleep(append_at_s - now_s)
         return True
 
     def _set_faults(self, faults):
--- a/standins/plain_service.py
+++ b/standins/plain_service.py
@@ -1,9 +1,9 @@
 """Stand-in of a plain service.
 
 Run it with ``python -m standins.plain_service --port 0``.  Any path answers JSON with a
-running number; ``GET /ledger`` tells what ran.  ``POST /faults`` takes ``delay_ms``
-and ``die_before_answer``: number of requests that run but whose connection is closed
-without an answer.
+serial number; ``GET /ledger`` answers which requests ran.  ``POST /faults`` accepts
+``delay_ms`` and ``die_before_answer``: the number of next requests that run and whose
+connection is then closed without an answer.
 """
 
 import argparse
@@ -18,7 +18,7 @@
 
 
 class PlainServiceStandin:
-    """The service.
+    """Service that answers after a delay and counts its runs.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
 
     __slots__ = (
         "_ledger",
-        "_number",
+        "_serial_number",
         "_options",
         "_running",
         "delay_ms",
@@ -38,7 +38,7 @@
     def __init__(self, options):
         self._options = options
         self._ledger = Ledger()
-        self._number = 0
+        self._serial_number = 0
         self._running = 0
         self.delay_ms = options.delay_ms
         self.die_before_answer = 0
@@ -60,16 +60,18 @@
             await self._serve(request, exchange)
 
     async def _serve(self, request, exchange):
-        request_id = request.headers.get("x-request-id", f"unnamed-{self._number}")
-        self._ledger.note_run(request_id, request.headers.get("idempotency-key"))
-        self._number += 1
-        number = self._number
+        request_id = request.headers.get(
+            "x-request-id", f"unnamed-{self._serial_number}"
+        )
+        self._ledger.count_run(request_id, request.headers.get("idempotency-key"))
+        self._serial_number += 1
+        number = self._serial_number
         self._running += 1
         try:
             await curio.sleep(self.delay_ms / MILLISECONDS_PER_SECOND)
         finally:
             self._running -= 1
-        self._ledger.note_finished(request_id)
+        self._ledger.count_finished(request_id)
         if self.die_before_answer > 0:
             self.die_before_answer -= 1
             raise CloseConnection
@@ -86,16 +88,16 @@
 
 
 def answer_body(number, method, path, body):
-    """Return the answer's bytes, so that a caller can check them one by one.
+    """Return the body of an answer, which a caller compares byte for byte.
 
     Parameters
     ----------
     number : int
-        How many requests the service ran so far, this one included.
+        Number of requests that the service has run, including this request.
     method, path : str
-        Of the request.
+        Method and path of the request.
     body : bytes
-        Of the request.
+        Body of the request.
     """
     text = body.decode("utf-8", "replace")
     answer = {"number": number, "method": method, "path": path, "body": text}
--- a/standins/platform_backoff.py
+++ b/standins/platform_backoff.py
@@ -1,7 +1,7 @@
-"""Stand-ins of servers that request back-off, and of those that say that they leave.
+"""Stand-ins of servers that request back-off or announce that they leave.
 
-Requests tell in their body which entry they were sent to and when, as `request_body`
-writes it, so that arrivals can be told apart by entry.
+The body of a request, as `request_body` writes it, holds the name of the entry that it
+was sent to and the time of sending, so that arrivals can be counted by entry.
 """
 
 import json
@@ -10,17 +10,18 @@
 
 from standins.platform_behaviours import answer_bytes, answer_whole, sealed
 
-# Arrivals count from so long after the answer that requested back-off.
+# Arrivals within this time after an answer that requests back-off are not counted: the
+# entry may have sent them before it had the answer.
 BACKOFF_SLACK_S = 0.5
 
 
 def request_body(entry_name):
-    """Return the body of a request that is sent to an entry now."""
+    """Return the body of a request that is sent to an entry at the present time."""
     return json.dumps([entry_name, time.monotonic()]).encode()
 
 
 class _Arrival:
-    """A request as it reached a server."""
+    """Arrival of a request at a server."""
 
     __slots__ = ("at_s", "entry_name", "sent_at_s")
 
@@ -30,30 +31,31 @@
 
 
 class BackoffService:
-    """Behaviour of a server that turns requests away and requests back-off.
+    """Behaviour of a server that declines requests and requests back-off.
 
     Parameters
     ----------
     backoff_text : str
-        What it asks for, seconds.
+        Value of ``Retry-After`` that its refusals carry, seconds.
     asks_s : float
-        How long it requests back-off, from its first request on; then it serves.
-    declines_every : int
-        Which of its requests it turns away meanwhile: each one, each second one, ...
+        Period in which it requests back-off, from its first request on; afterwards it
+        serves all requests.
+    decline_interval : int
+        It declines every n-th request in that period; 1 declines all of them.
     says_not_run : bool
-        Whether its refusals say that they have not run the request.
+        Whether its refusals state that the request was not run.
 
     Attributes
     ----------
     arrivals : list
-        All requests, in order.
+        All requests, in the order of arrival.
     asked_count : int
-        How often it has requested back-off.
+        Number of answers that requested back-off.
     """
 
     __slots__ = (
         "_asks_s",
-        "_declines_every",
+        "_decline_interval",
         "_first_at_s",
         "_backoff_text",
         "_backoffs",
@@ -63,14 +65,14 @@
     )
 
     def __init__(
-        self, backoff_text, asks_s=math.inf, declines_every=1, says_not_run=True
+        self, backoff_text, asks_s=math.inf, decline_interval=1, says_not_run=True
     ):
         self._backoff_text = backoff_text
         self._asks_s = asks_s
-        self._declines_every = declines_every
+        self._decline_interval = decline_interval
         self._says_not_run = says_not_run
         self._first_at_s = None
-        # Entry and time of each answer that requested back-off.
+        # Entry name and monotonic time of each answer that requested back-off.
         self._backoffs = []
         self.arrivals = []
         self.asked_count = 0
@@ -82,7 +84,7 @@
         if self._first_at_s is None:
             self._first_at_s = arrival.at_s
         is_asking = arrival.at_s - self._first_at_s < self._asks_s
-        if not is_asking or (len(self.arrivals) - 1) % self._declines_every:
+        if not is_asking or (len(self.arrivals) - 1) % self._decline_interval:
             await answer_whole(server, request, client)
             return
         headers = [f"Retry-After: {self._backoff_text}", "X-Server-Load: 0,0,6"]
@@ -94,14 +96,14 @@
         self._backoffs.append((arrival.entry_name, time.monotonic()))
 
     def most_in_a_backoff(self):
-        """Return the most requests of one entry within a back-off asked of it."""
+        """Return the most requests of one entry within one requested back-off."""
         backoff_s = float(self._backoff_text)
         return max(
             (
                 sum(
-                    BACKOFF_SLACK_S < one.at_s - asked_at_s < backoff_s
-                    for one in self.arrivals
-                    if one.entry_name == entry_name
+                    BACKOFF_SLACK_S < arrival.at_s - asked_at_s < backoff_s
+                    for arrival in self.arrivals
+                    if arrival.entry_name == entry_name
                 )
                 for entry_name, asked_at_s in self._backoffs
             ),
@@ -110,29 +112,35 @@
 
 
 class LeavingService:
-    """Behaviour of a server that says in its answers that it leaves.
+    """Behaviour of a server that announces in its answers that it leaves.
 
     Parameters
     ----------
     serves_s : float
-        How long it serves before, from its first request on.
-    tells_only : str or None
-        The only entry that it says so to, if not to all.
+        Time from its first request until it announces that it leaves.
+    only_entry_name : str or None
+        Name of the only entry that gets the announcement; None announces to all.
 
     Attributes
     ----------
     arrivals : list
-        All requests, in order.
+        All requests, in the order of arrival.
     """
 
-    __slots__ = ("_first_at_s", "_serves_s", "_tells_only", "_told_at_s", "arrivals")
+    __slots__ = (
+        "_first_at_s",
+        "_serves_s",
+        "_tells_only",
+        "_announced_at_s",
+        "arrivals",
+    )
 
     def __init__(self, serves_s, tells_only=None):
         self._serves_s = serves_s
         self._tells_only = tells_only
         self._first_at_s = None
-        # When each entry was told first.
-        self._told_at_s = {}
+        # Monotonic time of the first announcement to each entry.
+        self._announced_at_s = {}
         self.arrivals = []
 
     async def __call__(self, server, request, client):
@@ -147,17 +155,23 @@
             headers.append("Server-Leaving: 1")
         await client.sendall(answer_bytes(request.request_id, headers=headers))
         if "Server-Leaving: 1" in headers:
-            self._told_at_s.setdefault(arrival.entry_name, time.monotonic())
+            self._announced_at_s.setdefault(arrival.entry_name, time.monotonic())
 
     def arrivals_behind_the_first_word(self, after_s):
-        """Return the requests that were sent so long after any entry was told."""
-        first_s = min(self._told_at_s.values())
-        return [one for one in self.arrivals if one.sent_at_s - first_s > after_s]
+        """Return the requests sent over `after_s` after the first announcement."""
+        first_s = min(self._announced_at_s.values())
+        return [
+            arrival
+            for arrival in self.arrivals
+            if arrival.sent_at_s - first_s > after_s
+        ]
 
     def late_arrivals(self, drain_s):
-        """Return the requests that were sent so long after their entry was told."""
+        """Return the requests sent over `drain_s` after their entry was informed."""
         return [
-            one
-            for one in self.arrivals
-            if one.sent_at_s - self._told_at_s.get(one.entry_name, math.inf) > drain_s
+            arrival
+            for arrival in self.arrivals
+            if arrival.sent_at_s
+            - self._announced_at_s.get(arrival.entry_name, math.inf)
+            > drain_s
         ]
--- a/standins/platform_behaviours.py
+++ b/standins/platform_behaviours.py
@@ -1,8 +1,8 @@
-"""What a stand-in of a server on the users' platform may answer.
+"""Behaviours of a stand-in of a server on the users' platform.
 
-Each behaviour is ``async behaviour(server, request, client)`` and writes bytes, since
-most faults are not HTTP that a library would send.  It returns `CLOSE` if the
-connection ends.
+Each behaviour is ``async behaviour(server, request, client)`` and writes raw bytes,
+since an HTTP library refuses to send most of these faults.  It returns `CLOSE` if the
+connection is to be closed.
 """
 
 import contextlib
@@ -13,15 +13,15 @@
 READ_SIZE_BYTES = 65_536
 SEAL = "3e1b.07.5a2.600.0.c9f2a4d1"
 CLOSE = object()
-# How long a server works on a request that ends it.
+# Time from the start of a request until the server crashes.
 CRASH_AFTER_S = 0.01
 FOR_EVER_S = 3600.0
-# Exit status of a server that a request has ended.
-ENDED_STATUS = 3
+# Exit status of a server process that crashes under a request.
+CRASH_EXIT_STATUS = 3
 
 
 def answer_bytes(request_id, status="200 OK", body=b"done\n", headers=()):
-    """Return a whole answer."""
+    """Return the bytes of a complete answer."""
     lines = [
         f"HTTP/1.1 {status}",
         f"X-Request-Id: {request_id}",
@@ -32,17 +32,17 @@
 
 
 def sealed(headers=()):
-    """Return the headers of an answer that the server stands by."""
+    """Return headers with the seal that marks an answer as the server's own."""
     return [f"X-Response-Seal: {SEAL}", "X-Server-Load: 1,0,6", *headers]
 
 
 async def answer_whole(server, request, client):
-    """Answer with success."""
+    """Answer 200 with a complete body."""
     await client.sendall(answer_bytes(request.request_id, headers=sealed()))
 
 
 async def decline(server, request, client):
-    """Say that the request was not run."""
+    """Answer 503 with the statement that the request was not run."""
     data = answer_bytes(
         request.request_id,
         "503 Service Unavailable",
@@ -53,7 +53,7 @@
 
 
 async def decline_for_group(server, request, client):
-    """Say that the request was not run since another rank has failed."""
+    """Answer 503 and not run, caused by the failure of another rank's server."""
     data = answer_bytes(
         request.request_id,
         "503 Service Unavailable",
@@ -64,13 +64,13 @@
 
 
 async def refuse_without_a_word(server, request, client):
-    """Answer 503 without saying whether the request ran."""
+    """Answer 503 without stating whether the request ran."""
     data = answer_bytes(request.request_id, "503 Service Unavailable", b"", sealed())
     await client.sendall(data)
 
 
 async def decline_and_break_off(server, request, client):
-    """Say that the request was not run, and close within the body."""
+    """Answer 503 and not run, and close the connection within the body."""
     data = answer_bytes(
         request.request_id, "503 Service Unavailable", b"full\n", ["X-Not-Executed: 1"]
     )
@@ -79,13 +79,13 @@
 
 
 async def answer_and_close_later(server, request, client):
-    """Answer, and close the connection without saying so."""
+    """Answer, and close the connection without a ``Connection: close`` header."""
     await answer_whole(server, request, client)
     return CLOSE
 
 
 async def misdirect(server, request, client):
-    """Say that another instance was expected."""
+    """Answer 421: the request was meant for another instance."""
     data = answer_bytes(
         request.request_id, "421 Misdirected Request", b"", ["X-Instance-Id: i-new"]
     )
@@ -93,7 +93,7 @@
 
 
 def misdirect_with(*headers):
-    """Return a behaviour that says so, and more of the other instance."""
+    """Return a behaviour that answers 421 with the given headers."""
 
     async def behaviour(server, request, client):
         data = answer_bytes(request.request_id, "421 Misdirected Request", b"", headers)
@@ -103,7 +103,7 @@
 
 
 async def fail(server, request, client):
-    """Run the request and fail."""
+    """Answer 500 after the request ran."""
     data = answer_bytes(
         request.request_id, "500 Internal Server Error", b"sorry\n", sealed()
     )
@@ -111,49 +111,49 @@
 
 
 async def lose_answer(server, request, client):
-    """Run the request and close the connection."""
+    """Close the connection without an answer after the request ran."""
     return CLOSE
 
 
 async def end_under_request(server, request, client):
-    """Begin to run the request, and end before the answer."""
+    """Start to run the request, and end the server before the answer."""
     await curio.sleep(CRASH_AFTER_S)
     await curio.spawn(server.end, daemon=True)
     await curio.sleep(FOR_EVER_S)
 
 
 async def end_process(server, request, client):
-    """Begin to run the request, and end the whole process before the answer."""
+    """Start to run the request, and end the whole process before the answer."""
     await curio.sleep(CRASH_AFTER_S)
-    os._exit(ENDED_STATUS)
+    os._exit(CRASH_EXIT_STATUS)
 
 
 async def cut_answer(server, request, client):
-    """Close within the body."""
+    """Close the connection within the body."""
     await client.sendall(answer_bytes(request.request_id, headers=sealed())[:-2])
     return CLOSE
 
 
 async def answer_twice(server, request, client):
-    """Answer, and answer once more."""
+    """Send the answer twice."""
     answer = answer_bytes(request.request_id, headers=sealed())
     await client.sendall(answer + answer)
 
 
 async def answer_another_first(server, request, client):
-    """Send the answer to some other request before this one's."""
+    """Send an answer with another request id before the answer of this request."""
     other = answer_bytes("another-request", body=b"not yours\n", headers=sealed())
     await client.sendall(other + answer_bytes(request.request_id, headers=sealed()))
 
 
 async def answer_nonsense(server, request, client):
-    """Send bytes that are no answer."""
+    """Send bytes that are no HTTP response."""
     await client.sendall(b"\x00\x01\x02 nonsense\r\n\r\n")
 
 
 async def hang(server, request, client):
-    """Answer nothing, and note when the caller leaves."""
-    # A caller that gives up resets its connection.
+    """Never answer, and set `closed_early` when the caller disconnects."""
+    # A caller that cancels its request resets the connection.
     with contextlib.suppress(ConnectionResetError):
         while await client.recv(READ_SIZE_BYTES):
             pass
@@ -162,16 +162,18 @@
 
 
 def answer_unframed(data, *headers, ends_server=False):
-    """Return a behaviour that answers without a length or chunks.
+    """Return a behaviour that answers with a body that ends with the connection.
+
+    The answer has neither a content length nor chunks.
 
     Parameters
     ----------
     data : bytes
-        What comes before the connection's end.
+        Body that is sent before the connection ends.
     *headers : str
-        Further headers.
-    ends_server : bool
-        Whether the connection ends since the server does.
+        Additional headers.
+    crashes_server : bool
+        Whether the connection ends because the server ends.
     """
 
     async def behave(server, request, client):
@@ -186,26 +188,26 @@
 
 
 async def answer_until_close(server, request, client):
-    """Answer without a length; the connection's end is the answer's."""
+    """Answer with a body that ends with the connection."""
     return await answer_unframed(b"done\n")(server, request, client)
 
 
 def event(number):
-    """Return one event of a stream."""
+    """Return the bytes of an event of a stream."""
     return f"id: {number}\ndata: token {number}\n\n".encode()
 
 
 def stream(first, last, cut_within=None, gap_s=0.0):
-    """Return a behaviour that sends events, and may close within one of them.
+    """Return a behaviour that sends events, and may close within an event.
 
     Parameters
     ----------
     first, last : int
         Ids of the first and the last event.
     cut_within : int or None
-        Event in whose middle the connection is closed.
+        Id of the event within which the connection is closed.
     gap_s : float
-        Pause before each event.
+        Pause before each event, seconds.
     """
 
     async def behave(server, request, client):
@@ -235,7 +237,7 @@
 
 
 async def cut_unless_resumed(server, request, client):
-    """Break a stream off within its third event, or continue one."""
+    """Cut a stream within its third event, or resume it after the last event id."""
     last_id = request.headers.get("last-event-id")
     if last_id is None:
         return await stream(1, 5, cut_within=3)(server, request, client)
--- a/standins/platform_limits.py
+++ b/standins/platform_limits.py
@@ -1,4 +1,4 @@
-"""Stand-in of a server in need, which names the rate of requests that it takes."""
+"""Stand-in of an overloaded server, which states the request rate it accepts."""
 
 import time
 
@@ -6,19 +6,19 @@
 
 
 class LimitedService:
-    """Behaviour of a server that answers whole and names a limit.
+    """Behaviour of a server that answers completely and states a limit.
 
     Parameters
     ----------
     limit : str or None
-        The limit as its answers state it, requests a second; None names none.
+        Limit as its answers state it, requests per second; None states no limit.
 
     Attributes
     ----------
     arrivals_s : list of float
-        When requests arrived, monotonic seconds.
+        Times of arrival of its requests, monotonic seconds.
     named_at_s : float or None
-        When the limit was named first.
+        When the limit was first stated, monotonic seconds.
     """
 
     def __init__(self, limit=None):
@@ -37,7 +37,7 @@
         await client.sendall(answer_bytes(request.request_id, headers=headers))
 
     def most_within(self, window_s, after_s):
-        """Return the most arrivals in any window that begins after a time."""
+        """Return the most arrivals in any window that begins at or after `after_s`."""
         arrivals_s = [at_s for at_s in self.arrivals_s if at_s >= after_s]
         most = 0
         first = 0
--- a/standins/platform_server.py
+++ b/standins/platform_server.py
@@ -1,13 +1,14 @@
 """Stand-in of a server on the users' platform, with faults by the connection.
 
-It reads a request, notes that it came, and answers as the next of its scripted
-behaviours says; without one it answers whole, or as a `SteadyService` does.
+It reads a request, records it, and answers by the next of its scripted behaviours;
+without a scripted behaviour it answers completely, or as a `SteadyService` does.
 
 Run it with ``python -m standins.platform_server --port 0 --instance-id i-1``.  ``POST
-/faults`` takes ``behaviours``: names of `BEHAVIOURS` for the next requests, in place of
-those before; with ``--steady`` also ``shares`` and ``seed``, and what its answers then
-state: ``limit``, ``backoff``, ``leaving``, ``cold_until_s``.  With ``--slots`` it
-serves as a `SlotService`.  ``GET /runs`` answers what either service has noted.
+/faults`` accepts ``behaviours``: names of `BEHAVIOURS` for the next requests, which
+replace the names that are still queued; with ``--steady`` also ``shares`` and ``seed``,
+and values that its answers then state: ``limit``, ``backoff``, ``leaving``,
+``cold_until_s``.  With ``--slots`` it serves as a `SlotService`.  ``GET /runs`` answers
+the records of either service.
 """
 
 import argparse
@@ -26,21 +27,21 @@
 from standins.platform_slots import SlotService
 
 READ_SIZE_BYTES = 65_536
-# What a steady service states in its answers.
-STATED = {"backoff", "cold_until_s", "leaving", "limit"}
+# Attributes of a `SteadyService` that its answers state.
+STATED_ATTRIBUTES = {"backoff", "cold_until_s", "leaving", "limit"}
 
 
-class SeenRequest:
-    """A request that reached a server.
+class ReceivedRequest:
+    """A request that a server has received.
 
     Parameters
     ----------
     line : str
-        Request line.
+        Request line of HTTP.
     headers : dict of str to str
-        By lower-case name.
+        Headers by lower-case name.
     body : bytes
-        The body.
+        Complete body.
     """
 
     __slots__ = ("body", "headers", "line")
@@ -52,30 +53,30 @@
 
     @property
     def request_id(self):
-        """The caller's id of the attempt."""
+        """Id that the caller gave to the attempt."""
         return self.headers.get("x-request-id", "")
 
 
 class PlatformServerStandin:
-    """A server.
+    """A server with scripted behaviours.
 
     Parameters
     ----------
     instance_id : str
-        Its id.
+        Id of this start of the server.
     host, port : str, int
-        Where it listens; port 0 lets the system choose.
+        Address to listen on; with port 0 the system assigns a free port.
     default : callable
-        What it does when no behaviour is scripted.
+        Behaviour when no behaviour is scripted.
 
     Attributes
     ----------
-    seen : list of SeenRequest
-        Requests in the order of their arrival.
+    seen : list of ReceivedRequest
+        Requests in the order of arrival.
     behaviours : collections.deque
-        ``async behaviour(server, request, client)`` for each of the next requests.
+        Scripted ``async behaviour(server, request, client)`` of the next requests.
     closed_early : curio.Event
-        Set when a caller closes its connection while a request runs.
+        Set when a caller closes its connection while `hang` holds its request.
     is_up : bool
         Whether it listens.
     """
@@ -118,16 +119,16 @@
         await curio.network.run_server(self._listener, self.serve)
 
     def serve_by(self, default):
-        """Do something else from now on when no behaviour is scripted."""
+        """Set the behaviour that is used when no behaviour is scripted."""
         self._default = default
 
     async def end(self):
-        """End as a process does: nothing listens, and all connections are closed."""
+        """Stop listening and close all connections, as when the process ends."""
         self.is_up = False
         await self._task.cancel()
 
     async def start_again(self, instance_id):
-        """Start anew at the same address, under another id and with nothing known."""
+        """Restart at the same address, with another id and no scripted behaviour."""
         self.instance_id = instance_id
         self.behaviours.clear()
         self._listener = curio.tcp_server_socket(self.host, self.port)
@@ -143,9 +144,9 @@
                 request, rest = await read_request(client, rest)
                 if request is None:
                     return
-                controlled = self._control(request)
-                if controlled is not None:
-                    body = json.dumps(controlled).encode()
+                control_answer = self._handle_control(request)
+                if control_answer is not None:
+                    body = json.dumps(control_answer).encode()
                     await client.sendall(answer_bytes("", body=body))
                     continue
                 self.seen.append(request)
@@ -157,8 +158,8 @@
         except OSError:
             return
 
-    def _control(self, request):
-        """Carry out a call of whoever runs the stand-in; return its answer, or None."""
+    def _handle_control(self, request):
+        """Execute a control call of the test; return its answer, or None for others."""
         if request.line.startswith("GET /runs "):
             return self._default.as_json()
         if not request.line.startswith("POST /faults "):
@@ -167,7 +168,7 @@
         self.behaviours.clear()
         for name in faults.get("behaviours", ()):
             self.behaviours.append(BEHAVIOURS[name])
-        for name in STATED & set(faults):
+        for name in STATED_ATTRIBUTES & set(faults):
             setattr(self._default, name, faults[name])
         if "shares" in faults:
             self._default.set_faults(faults["shares"], faults["seed"])
@@ -175,7 +176,7 @@
 
 
 async def read_request(client, rest):
-    """Return the next `SeenRequest`, or None, and the bytes behind it."""
+    """Return the next `ReceivedRequest`, or None at the end, and the bytes after it."""
     while b"\r\n\r\n" not in rest:
         data = await client.recv(READ_SIZE_BYTES)
         if not data:
@@ -184,8 +185,8 @@
     head, _, rest = rest.partition(b"\r\n\r\n")
     line, *lines = head.decode("latin-1").split("\r\n")
     headers = {}
-    for one in lines:
-        name, _, value = one.partition(":")
+    for header_line in lines:
+        name, _, value = header_line.partition(":")
         headers[name.lower()] = value.strip()
     size = int(headers.get("content-length", 0))
     while len(rest) < size:
@@ -193,7 +194,7 @@
         if not data:
             return None, b""
         rest += data
-    return SeenRequest(line, headers, rest[:size]), rest[size:]
+    return ReceivedRequest(line, headers, rest[:size]), rest[size:]
 
 
 def main():
--- a/standins/platform_service.py
+++ b/standins/platform_service.py
@@ -1,9 +1,10 @@
-"""A service under steady load, as a stand-in server serves it, and what it ran.
+"""Service of a stand-in server under steady load, and the record of its runs.
 
 Paths that begin with ``/stream/`` are answered by a stream of `EVENT_COUNT` events,
-which goes on behind ``Last-Event-Id``; others by one line that names the request.  The
-process ends under a request whose body begins with `ENDING_MARK`.  ``GET /health``
-counts as no request; its answer says for how long the server is still cold.
+which resumes after ``Last-Event-Id``; other paths by one line with the request id and
+the path.  A request whose body begins with `ENDING_MARK` ends the process.  ``GET
+/health`` is not recorded as a request; its answer states how long the server stays
+cold.
 """
 
 import json
@@ -20,7 +21,7 @@
     answer_bytes,
     answer_nonsense,
     CLOSE,
-    ENDED_STATUS,
+    CRASH_EXIT_STATUS,
     event,
     sealed,
 )
@@ -32,46 +33,47 @@
 STREAM_PATH = "/stream/"
 HEALTH_PATH = "/health"
 MILLISECONDS_PER_SECOND = 1000
-# A server ends while it works on a request whose body begins so.
+# A request whose body begins with this mark ends the server process.
 ENDING_MARK = b"ends the server"
-ENDS_AFTER_S = 0.02
+CRASH_AFTER_S = 0.02
 
 
 def expected_body(request_id, path):
-    """Return the body of a whole answer to a request."""
+    """Return the body of a complete answer to a request."""
     if path.startswith(STREAM_PATH):
         return b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
     return f"{request_id} {path}\n".encode()
 
 
 class Run:
-    """What a server did with a request.
+    """Record of a request at a server.
 
     Parameters
     ----------
     request_id, path, account : str
-        The request, and the account that the gateway named.
+        Id and path of the request, and the client account that the gateway stated.
     arrived_s : float
-        Monotonic time of its arrival; all processes of a host share that clock.
+        Monotonic time of arrival; all processes of a host share this clock.
 
     Attributes
     ----------
     ran : bool
-        Whether the server worked on it.
+        Whether the server started to process it.
     ended_s : float or None
-        When it stopped working.
+        When processing ended, monotonic seconds.
     answered : bool
-        Whether it sent a whole answer.
+        Whether a complete answer was sent.
     is_misdirected : bool
-        Whether it was meant for another instance.
+        Whether the request was meant for another instance.
     backoff_asked_s : float
-        The back-off that its refusal requested, seconds.
+        Back-off that its refusal requested, seconds.
     refused_s : float or None
-        When that was.
+        When that refusal had been sent, monotonic seconds.
     said_leaving : bool
-        Whether its answer said that the server leaves.
+        Whether its answer announced that the server leaves.
     limit_named_s : float or None
-        When an answer that names a limit, or the head of one, had been sent to it.
+        When an answer that states a limit, or the head of a streamed answer, had been
+        sent, monotonic seconds.
     """
 
     __slots__ = (
@@ -104,12 +106,12 @@
         self.limit_named_s = None
 
     def as_json(self):
-        """Return it as a JSON value."""
+        """Return the record as a JSON value."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
 class SteadyService:
-    """Behaviour of a server: limited slots, time for work, drawn faults.
+    """Behaviour of a server with limited slots, a service time and random faults.
 
     Parameters
     ----------
@@ -119,22 +121,23 @@
     Attributes
     ----------
     runs : list of Run
-        Every request that arrived.
+        Records of all requests, in the order of arrival.
     limit : str or None
-        The limit that its answers name, requests a second.
+        Limit that its answers state, requests per second.
     backoff : list of float or None
-        Part of the requests that it turns away, and the back-off that it then requests.
+        Share of the requests that it declines, and the back-off that it then requests,
+        seconds.
     leaving : bool
-        Whether its answers say that it leaves.
+        Whether its answers announce that it leaves.
     cold_until_s : float
-        Until when it is cold, monotonic seconds.
+        Monotonic time until which it is cold.
     """
 
     __slots__ = (
         "_instance_id",
         "_random",
         "_running",
-        "_shares",
+        "_fault_shares",
         "cold_until_s",
         "leaving",
         "limit",
@@ -146,7 +149,7 @@
         self._instance_id = instance_id
         self.cold_until_s = cold_until_s
         self._random = random.Random(0)
-        self._shares = {}
+        self._fault_shares = {}
         self._running = 0
         self.limit = None
         self.backoff = None
@@ -154,15 +157,15 @@
         self.runs = []
 
     def set_faults(self, shares, seed):
-        """Let a share of the requests meet each fault of `_FAULTS`."""
+        """Set the share of requests that meets each fault of `_FAULTS`."""
         unknown = set(shares) - set(_FAULTS)
         if unknown:
             raise ValueError(f"unknown faults: {', '.join(sorted(unknown))}")
-        self._shares = shares
+        self._fault_shares = shares
         self._random = random.Random(seed)
 
     def as_json(self):
-        """Return every run as a JSON value."""
+        """Return the records of all requests as a JSON value."""
         return {"runs": [run.as_json() for run in self.runs]}
 
     async def __call__(self, server, request, client):
@@ -206,30 +209,30 @@
 
     async def _decline(self, run, request, client, status, headers=()):
         headers = ["X-Not-Executed: 1", *headers, *self._state_headers()]
-        names_limit = self.limit is not None
+        states_limit = self.limit is not None
         await client.sendall(
             answer_bytes(request.request_id, status, b"", headers),
         )
-        _note_limit(run, names_limit)
+        _record_limit_time(run, states_limit)
 
     async def _serve(self, run, request, client):
         if request.body.startswith(ENDING_MARK):
-            await curio.sleep(ENDS_AFTER_S)
+            await curio.sleep(CRASH_AFTER_S)
             _end_process(run)
         fault = self._draw_fault()
         if run.path.startswith(STREAM_PATH):
             return await self._stream(run, request, client, fault)
-        if await _left_within(client, WORK_S):
+        if await _disconnected_within(client, WORK_S):
             return CLOSE
         body = expected_body(request.request_id, run.path)
         headers = sealed(self._state_headers())
         answer = answer_bytes(request.request_id, body=body, headers=headers)
-        names_limit = self.limit is not None
+        states_limit = self.limit is not None
         if fault is not None:
             return await _FAULTS[fault](answer, request, client)
         await client.sendall(answer)
         run.answered = True
-        _note_limit(run, names_limit)
+        _record_limit_time(run, states_limit)
         return None
 
     async def _stream(self, run, request, client, fault):
@@ -241,17 +244,17 @@
             "Transfer-Encoding: chunked",
             *sealed([f"X-Instance-Id: {self._instance_id}", *self._limit_headers()]),
         ]
-        names_limit = self.limit is not None
+        states_limit = self.limit is not None
         await client.sendall("\r\n".join(head).encode() + b"\r\n\r\n")
-        _note_limit(run, names_limit)
-        broken_at = None
+        _record_limit_time(run, states_limit)
+        cut_at = None
         if fault is not None:
-            broken_at = self._random.randint(first, EVENT_COUNT)
+            cut_at = self._random.randint(first, EVENT_COUNT)
         for number in range(first, EVENT_COUNT + 1):
-            if await _left_within(client, EVENT_GAP_S):
+            if await _disconnected_within(client, EVENT_GAP_S):
                 return CLOSE
             data = event(number)
-            if number == broken_at:
+            if number == cut_at:
                 await client.sendall(f"{len(data):x}\r\n".encode() + data[:5])
                 return CLOSE
             await client.sendall(f"{len(data):x}\r\n".encode() + data + b"\r\n")
@@ -267,7 +270,7 @@
 
     def _draw_fault(self):
         drawn = self._random.random()
-        for name, share in self._shares.items():
+        for name, share in self._fault_shares.items():
             if drawn < share:
                 return name
             drawn -= share
@@ -282,20 +285,20 @@
         return [*headers, "Server-Leaving: 1"] if self.leaving else headers
 
 
-def _note_limit(run, names_limit):
-    if names_limit:
+def _record_limit_time(run, states_limit):
+    if states_limit:
         run.limit_named_s = time.monotonic()
 
 
 def _end_process(run):
-    """End as by a fault, and leave a line that tells under which request."""
+    """End the process as a crash does, and log the request that caused it."""
     line = {"ended_under": run.request_id, "arrived_s": run.arrived_s}
     print(json.dumps(line), file=sys.stderr, flush=True)
-    os._exit(ENDED_STATUS)
+    os._exit(CRASH_EXIT_STATUS)
 
 
-async def _left_within(client, wait_s):
-    """Wait; return at once with True if the caller closes its connection."""
+async def _disconnected_within(client, wait_s):
+    """Wait; return True at once if the caller closes its connection."""
     peeked = await curio.ignore_after(wait_s, client.recv, 1, socket.MSG_PEEK)
     return peeked == b""
 
@@ -318,7 +321,7 @@
     await client.sendall(other + answer)
 
 
-async def _send_nonsense(answer, request, client):
+async def _send_invalid_bytes(answer, request, client):
     await answer_nonsense(None, request, client)
 
 
@@ -341,7 +344,7 @@
     "cut": _cut,
     "twice": _send_twice,
     "another": _send_another_first,
-    "nonsense": _send_nonsense,
+    "nonsense": _send_invalid_bytes,
     "hang": _hang,
     "fail": _fail,
 }
--- a/standins/platform_slots.py
+++ b/standins/platform_slots.py
@@ -1,4 +1,4 @@
-"""Stand-in of a server that runs some requests at once and lets some wait."""
+"""Stand-in of a server with a limited number of slots and a bounded queue."""
 
 import time
 
@@ -13,17 +13,17 @@
     Parameters
     ----------
     slot_count, queue_limit : int
-        Requests that it runs at once, and that may wait.
+        Most requests that it runs at once, and that wait for a slot.
     service_s : float
-        Time that each takes, seconds.
+        Time that each request takes, seconds.
 
     Attributes
     ----------
     served_count, declined_count : int
-        Requests that it has served, and declined since its queue was full.
+        Requests that it has served, and declined because its queue was full.
     held_s : float
-        Time in which its slots were in use, seconds, summed over all slots.  Beyond
-        `service_s` a request, it is time that the process came late to its timers.
+        Time in which its slots were in use, seconds, summed over all slots.  What
+        exceeds `service_s` per request is the lateness of the process at its timers.
     """
 
     def __init__(self, slot_count, queue_limit, service_s):
@@ -57,7 +57,7 @@
         await client.sendall(answer_bytes(request.request_id, headers=headers))
 
     def as_json(self):
-        """Return what it has done as a JSON value."""
+        """Return its counts as a JSON value."""
         return {
             "served_count": self.served_count,
             "declined_count": self.declined_count,
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,15 +1,15 @@
 """Stand-in of the users' platform's store: a log of records by topic.
 
 Run it with ``python -m standins.platform_store --port 0``.  It serves the calls that
-the project uses: appending, reading with a wait, the newest record of each key, and
-joining a group of members.  ``POST /faults`` takes ``mode``: "up", "busy" (503),
-"silent" (no answer), "reset", "deaf" (reads that wait hear of no change), or "mute"
-(what is appended is taken, and the answer is lost);
-``forget``: a topic whose records are dropped but for the newest of each key;
-``lapse``: a topic whose keys are all dropped; ``evacuate`` and ``take_back``: a failure
-domain, as the operator writes it; ``copy``: true keeps a copy of all
-records; and ``restore``: true goes back to that copy, which begins an era.  Every
-answer tells the era, unless ``era`` was set to null.
+the project uses: append, long-polling read, the newest record of each key, and joining
+and leaving a group of members.  ``POST /faults`` accepts ``mode``: "up", "busy" (503),
+"silent" (no answer), "reset", "deaf" (a read that waits is never answered), or "mute"
+(an append takes effect, and its answer is lost); ``forget``: a topic that is compacted
+to the newest record of each key; ``lapse``: a topic whose keys are all dropped;
+``evacuate`` and ``take_back``: a failure domain whose evacuation is written or
+withdrawn as by the operator; ``copy``: true keeps a copy of all records; and
+``restore``: true restores that copy, which begins a new era.  Every answer states the
+era, unless ``era`` was set to null.
 """
 
 import argparse
@@ -33,18 +33,18 @@
 
 
 class Topic:
-    """Records of one topic, which has one partition here.
+    """Records of a topic with a single partition.
 
     Attributes
     ----------
     first : int
-        Offset of the oldest record that is kept.
+        Offset of the oldest retained record.
     records : list of bytes
-        The records from there on.
+        Records from this offset on.
     newest : dict of str to tuple
         Offset and value of the newest record of each key.
     waiting : int
-        Reads that wait for a record.
+        Number of reads that wait for a record.
     """
 
     __slots__ = ("added", "first", "newest", "records", "waiting")
@@ -62,7 +62,7 @@
         return self.first + len(self.records)
 
     async def append(self, record):
-        """Add a record and wake the readers that wait."""
+        """Add a record and wake the waiting readers."""
         key_end = 1 + record[0]
         key, value = record[1:key_end].decode(), record[key_end:]
         if value:
@@ -73,23 +73,23 @@
         async with self.added:
             await self.added.notify_all()
 
-    async def lapse(self):
-        """Drop every key, as if its writer had been silent."""
+    async def drop_keys(self):
+        """Drop every key, as when the writers stopped renewing their keys."""
         for key in list(self.newest):
             await self.append(bytes([len(key)]) + key.encode())
 
     def forget(self):
-        """Drop every record but the newest of each key."""
+        """Drop all records; the newest value of each key is retained."""
         self.first = self.end
         self.records.clear()
 
     def copy(self):
-        """Return a topic with the same records, which nobody waits for."""
-        twin = Topic()
-        twin.first = self.first
-        twin.records = list(self.records)
-        twin.newest = dict(self.newest)
-        return twin
+        """Return a topic with the same records and without waiting reads."""
+        duplicate = Topic()
+        duplicate.first = self.first
+        duplicate.records = list(self.records)
+        duplicate.newest = dict(self.newest)
+        return duplicate
 
 
 class PlatformStoreStandin:
@@ -100,11 +100,11 @@
     mode : str
         "up", "busy", "silent", "reset", "deaf" or "mute".
     calls : list of str
-        Paths of the calls so far.
+        Paths of all calls, in order.
     era : int or None
-        Rises with each restore; None tells no era, as an older store does.
+        Era, which each restore increments; None states no era, as an older store does.
     read_limit_bytes : int
-        Most bytes of records in an answer, but for a single larger record.
+        Most bytes of an answer to a read; a larger single record is still answered.
     """
 
     __slots__ = (
@@ -139,7 +139,7 @@
         await self.put(OPERATOR_TOPIC, EVACUATION_PREFIX + domain, {})
 
     async def take_back(self, domain):
-        """Drop that record."""
+        """Drop the operator's record that a failure domain is evacuated."""
         await self.put(OPERATOR_TOPIC, EVACUATION_PREFIX + domain, None)
 
     def keep_copy(self):
@@ -147,7 +147,7 @@
         self._copy = {name: topic.copy() for name, topic in self.topics.items()}
 
     def restore(self):
-        """Go back to the copy; reads that wait are never answered."""
+        """Restore the copy in a new era; waiting reads are never answered."""
         self.topics = {name: topic.copy() for name, topic in self._copy.items()}
         self._members = {}
         self._generation = 0
@@ -182,7 +182,7 @@
         if "forget" in faults:
             self._topic(faults["forget"]).forget()
         if "lapse" in faults:
-            await self._topic(faults["lapse"]).lapse()
+            await self._topic(faults["lapse"]).drop_keys()
         if "evacuate" in faults:
             await self.evacuate(faults["evacuate"])
         if "take_back" in faults:
@@ -265,15 +265,15 @@
         await self._answer(exchange, 200, answer)
 
     async def _join(self, request, exchange):
-        asked = request.json()
-        if asked["member"] not in self._members:
-            self._members[asked["member"]] = None
+        joining = request.json()
+        if joining["member"] not in self._members:
+            self._members[joining["member"]] = None
             self._generation += 1
         members = sorted(self._members)
         parts = [
-            [asked["topics"][0], number, 0]
+            [joining["topics"][0], number, 0]
             for number in range(PARTITION_COUNT)
-            if members[number % len(members)] == asked["member"]
+            if members[number % len(members)] == joining["member"]
         ]
         answer = {"generation": self._generation, "parts": parts}
         await self._answer(exchange, 200, answer)
--- a/standins/rank_group.py
+++ b/standins/rank_group.py
@@ -24,16 +24,16 @@
 
 
 class Rank:
-    """One rank's engine.
+    """Engine of a rank.
 
     Parameters
     ----------
     index : int
-        Place in the group.
+        Index in the group.
     group : Group
-        The group.
+        Group that the rank belongs to.
     checks_fencing : bool
-        Whether orders with an old number are refused.
+        Whether orders with an older fencing and sequence number are refused.
     """
 
     def __init__(self, index, group, checks_fencing):
@@ -44,7 +44,7 @@
         self.staged = None
         self._group = group
         self._checks_fencing = checks_fencing
-        self._highest = (-1, -1)
+        self._highest_number = (-1, -1)
         self._answers_to_lose = 0
 
     async def handle(self, request, exchange):
@@ -52,24 +52,24 @@
         while self.stalled and request.path != "/faults":
             await curio.sleep(0.02)
         if request.path == "/faults":
-            await self._take_fault(request, exchange)
+            await self._set_faults(request, exchange)
         elif request.path == "/rank":
             number = (int(request.query["fencing"]), int(request.query["sequence"]))
             await self._answer_state(exchange, self._accept(number))
         elif request.path == "/rank/orders":
-            await self._carry_out(request.json(), exchange)
+            await self._execute(request.json(), exchange)
         elif request.path == "/rank/statistics":
             await exchange.answer_json(200, self._statistics())
         else:
             await exchange.answer_json(404, {})
 
     def _accept(self, number):
-        if self._checks_fencing and number < self._highest:
+        if self._checks_fencing and number < self._highest_number:
             return False
-        self._highest = max(self._highest, number)
+        self._highest_number = max(self._highest_number, number)
         return True
 
-    async def _carry_out(self, order, exchange):
+    async def _execute(self, order, exchange):
         accepted = self._accept((order["fencing"], order["sequence"]))
         if accepted:
             self._apply(order)
@@ -115,26 +115,26 @@
             "slots": self.expert_map.slots.tolist(),
         }
 
-    async def _take_fault(self, request, exchange):
-        fault = request.json()
-        self.stalled = bool(fault.get("stall", self.stalled))
-        self._answers_to_lose = int(fault.get("lose_answers", self._answers_to_lose))
+    async def _set_faults(self, request, exchange):
+        faults = request.json()
+        self.stalled = bool(faults.get("stall", self.stalled))
+        self._answers_to_lose = int(faults.get("lose_answers", self._answers_to_lose))
         await exchange.answer_json(200, {})
 
 
 class Group:
-    """All ranks, and the steps that they make together.
+    """All ranks of a group, which execute every step together.
 
     Parameters
     ----------
     options : argparse.Namespace
-        Numbers and the seed.
+        See `parse_options`.
     """
 
     def __init__(self, options):
         self._options = options
         self._random = np.random.default_rng(options.seed)
-        self._tastes = self._random.normal(0, 1, options.experts)
+        self._log_popularity = self._random.normal(0, 1, options.experts)
         self._held_since_s = None
         self._counts = {"steps": 0, "mixed_steps": 0, "longest_hold_ms": 0.0}
         self.first_map = ExpertMap.round_robin(
@@ -146,17 +146,17 @@
         ]
 
     def _loads(self):
-        popularity = np.exp(self._tastes)
+        popularity = np.exp(self._log_popularity)
         return popularity / popularity.sum() * self._options.tokens_per_interval
 
     def hold(self, rank):
-        """Stop a rank at the step boundary."""
+        """Hold a rank at the step boundary, which stops the group."""
         rank.held = True
         if self._held_since_s is None:
             self._held_since_s = time.monotonic()
 
     def release(self, rank):
-        """Let a rank go on."""
+        """Release a rank; the group steps again when no rank is held."""
         rank.held = False
         if self._held_since_s is None or any(other.held for other in self.ranks):
             return
@@ -166,7 +166,7 @@
         self._held_since_s = None
 
     async def run(self):
-        """Step, and let popularity drift at each interval."""
+        """Step until cancelled; let the experts' popularity drift every interval."""
         steps_per_interval = math.ceil(
             self._options.interval_s * MILLISECONDS_PER_SECOND / self._options.step_ms
         )
@@ -174,8 +174,10 @@
             await curio.sleep(self._options.step_ms / MILLISECONDS_PER_SECOND)
             self._step()
             if self._counts["steps"] % steps_per_interval == 0:
-                drift = self._random.normal(0, self._options.drift, len(self._tastes))
-                self._tastes += drift
+                drift = self._random.normal(
+                    0, self._options.drift, len(self._log_popularity)
+                )
+                self._log_popularity += drift
                 self.last_loads = self._loads()
 
     def _step(self):
@@ -191,8 +193,8 @@
         versions = [rank.expert_map.version for rank in self.ranks]
         skew = self.ranks[0].expert_map.skew(self.last_loads)
         held = [rank.held for rank in self.ranks]
-        figures = {**self._counts, "versions": versions, "skew": skew, "held": held}
-        await exchange.answer_json(200, figures)
+        counts = {**self._counts, "versions": versions, "skew": skew, "held": held}
+        await exchange.answer_json(200, counts)
 
 
 async def run_group(options, announce):
@@ -203,7 +205,8 @@
     options : argparse.Namespace
         See `parse_options`.
     announce : callable
-        Called with the list of `HttpServer`: the group's first, then the ranks'.
+        Called with the list of `HttpServer`: that of the group, then those of the
+        ranks.
     """
     group = Group(options)
     handlers = [group.answer_counts, *[rank.handle for rank in group.ranks]]
--- a/standins/tests/test_engine.py
+++ b/standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in: whole answers, resuming, priorities and cancelling."""
+"""The engine stand-in: complete answers, resumption, priorities, cancellation."""
 
 import argparse
 import json
@@ -46,7 +46,7 @@
 
 
 def test_streamed_and_whole_answers_are_the_expected_bytes():
-    """A test can compute every answer from the request alone."""
+    """Guards against answers that a test can't compute from the request alone."""
 
     async def scenario(connection):
         for stream in (True, False):
@@ -59,7 +59,7 @@
 
 
 def test_an_answer_resumes_from_an_offset():
-    """The rest of a known request comes again, byte for byte."""
+    """The rest of a known request's answer is repeated byte for byte."""
 
     async def scenario(connection):
         await _complete(connection, CONTENT, "key/draft-llm/a/7")
@@ -74,7 +74,7 @@
 
 
 def test_the_ledger_counts_every_run():
-    """A request that was sent twice shows as run twice."""
+    """Guards against a ledger that hides the second run of a request sent twice."""
 
     async def scenario(connection):
         await _complete(connection, CONTENT, "r-1")
@@ -87,7 +87,7 @@
 
 
 def test_a_full_batch_admits_by_priority_and_a_cancelled_request_never_starts():
-    """The more urgent request starts first; the ledger shows no cancelled one."""
+    """The more urgent request starts first; the cancelled request never runs."""
 
     async def main():
         ledger = Ledger()
--- a/standins/tests/test_host_list.py
+++ b/standins/tests/test_host_list.py
@@ -22,7 +22,7 @@
 
 
 def test_changes_become_visible_after_the_lag_only():
-    """With an endless lag a host that was put is not seen; without one it is."""
+    """With a lag of an hour an added host is not listed; without a lag it is."""
 
     def scenario_for(lag_s, seen):
         async def scenario(connection):
@@ -39,7 +39,7 @@
 
 
 def test_a_plain_service_counts_a_run_whose_answer_was_lost():
-    """The ledger knows the run that the caller never heard of."""
+    """Guards against a ledger that misses a run whose answer was lost."""
 
     standin = PlainServiceStandin(argparse.Namespace(capacity=1, delay_ms=0.0))
 
--- a/standins/tests/test_log.py
+++ b/standins/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log stand-in behind the real client."""
+"""The log stand-in, called through the real client."""
 
 import argparse
 import json
@@ -31,7 +31,7 @@
 
 
 def test_an_append_with_a_lost_answer_took_effect():
-    """The publisher finds its record although the append was reported as failed."""
+    """The publisher reads its record although the append was reported as failed."""
 
     async def scenario(client, log):
         log.lose_answers = 1
@@ -44,7 +44,7 @@
 
 
 def test_a_long_poll_ends_with_the_append():
-    """A waiting read answers as soon as there is a record."""
+    """A waiting read is answered as soon as a record is appended."""
 
     async def scenario(client, log):
         reading = await curio.spawn(client.read, "s", 0, 500, 30.0)
@@ -58,7 +58,7 @@
 
 
 def test_old_records_go():
-    """Only the last records are kept, and the span says where they begin."""
+    """Only the newest records are retained; the span states their first offset."""
 
     async def scenario(client, log):
         for number in range(5):
@@ -71,7 +71,7 @@
 
 
 def test_a_truncated_log_comes_back_shorter():
-    """After the fault, offsets are given again that readers have seen before."""
+    """After the truncation, offsets that readers have already seen are reused."""
 
     async def scenario(client, log):
         for number in range(3):
@@ -84,7 +84,7 @@
 
 
 def test_an_outage_is_an_unavailable_service():
-    """While the log is down every request fails; afterwards all is as before."""
+    """While the log is down every request fails; afterwards its records are intact."""
 
     async def scenario(client, log):
         await client.append("s", b"kept")
--- a/standins/tests/test_platform_service.py
+++ b/standins/tests/test_platform_service.py
@@ -1,28 +1,28 @@
-"""What a steady stand-in server tells in its answers."""
+"""State that a steady stand-in server reports in its answers."""
 
 import time
 
 import curio
 
-from standins.platform_server import PlatformServerStandin, SeenRequest
+from standins.platform_server import PlatformServerStandin, ReceivedRequest
 from standins.platform_service import SteadyService
 
 
 class Client:
-    """Keeps what is sent to it."""
+    """Client that records the bytes sent to it."""
 
     def __init__(self):
         self.sent = b""
 
     async def sendall(self, data):
-        """Take bytes."""
+        """Record bytes."""
         self.sent += data
 
 
 def answer_of(service, path, **headers):
     """Return the bytes of the answer to a request."""
     client = Client()
-    request = SeenRequest(f"GET {path} HTTP/1.1", headers, b"")
+    request = ReceivedRequest(f"GET {path} HTTP/1.1", headers, b"")
 
     async def ask():
         server = PlatformServerStandin("i-1")
@@ -33,7 +33,7 @@
 
 
 def test_health_answer_of_a_cold_server_says_for_how_long():
-    """Guards against a soak whose servers are cold and never say so."""
+    """Guards against a soak whose servers are cold and never report it."""
     service = SteadyService("i-1", time.monotonic() + 30)
     [line] = [
         line
@@ -45,12 +45,12 @@
 
 
 def test_health_answer_of_a_warm_server_says_nothing_of_it():
-    """Guards against servers that stay cold for ever."""
+    """Guards against servers that report themselves cold for ever."""
     assert b"X-Cold-Ms" not in answer_of(SteadyService("i-1"), "/health")
 
 
 def test_answer_that_names_a_limit_is_noted_with_its_time():
-    """The soak judges from these times who must keep to the limit; also of refusals."""
+    """The soak judges by these times from when a limit binds, also after refusals."""
     service = SteadyService("i-1")
     service.limit = "3"
     before_s = time.monotonic()
--- a/standins/tests/test_verdict.py
+++ b/standins/tests/test_verdict.py
@@ -1,4 +1,4 @@
-"""The judgement of a run: it must see what the system must never do."""
+"""The verdict on a run: it must detect every violation of the invariants."""
 
 import json
 
@@ -55,13 +55,13 @@
     ],
 )
 def test_a_stream_is_judged_by_its_bytes_and_its_ending(body, whole, verdict):
-    """Only the expected bytes with a proper ending are an answer."""
+    """Only the expected bytes with a regular end count as an answer."""
     call = _draft()
     assert judge(call, _answer(body, whole)).verdict is verdict
 
 
 def test_a_second_run_is_seen_under_either_name():
-    """Two request ids of one key, one run each, are two runs of one request."""
+    """Guards against two runs of an idempotency key that hide under two request ids."""
     call = _judged(
         _answer(b"", False, "unknown", 504, "r-1"),
         _answer(WHOLE, True, "answered", 200, "r-2"),
@@ -75,7 +75,7 @@
 
 
 def test_a_refused_request_that_ran_is_seen():
-    """The last word of an entry counts, whatever was said before it."""
+    """The outcome of the last attempt counts, whatever earlier attempts reported."""
     refused = _answer(b"", True, "refused_not_run", 503)
     unknown = _answer(b"", True, "unknown", 504)
     assert RunVerdict([_judged(refused)], _ledgers(1)).refused_but_ran == 1
@@ -85,14 +85,14 @@
 
 
 def test_a_missing_entry_does_not_outweigh_an_unknown_outcome():
-    """A request that never left says nothing of an earlier attempt."""
+    """An attempt that was never sent leaves the outcome of an earlier attempt."""
     call = _judged(_answer(b"", True, "unknown", 504), RawAnswer())
     verdict = RunVerdict([call], _ledgers(1))
     assert (verdict.unknown, verdict.refused_but_ran) == (1, 0)
 
 
 def test_an_answer_without_a_run_is_seen():
-    """Without it a wrong ledger would make every other count zero."""
+    """Guards against a broken ledger, which would make every other count zero."""
     answered = _judged(_answer(WHOLE, True))
     assert RunVerdict([answered], {}).answered_not_run == 1
     assert RunVerdict([answered], _ledgers(1)).holds()
