--- a/scripts/soak/__init__.py
+++ b/scripts/soak/__init__.py
@@ -1,11 +1,12 @@
 """Randomized failure runs of gateways on stand-ins of the users' platform.
 
-Real programs run as processes on loopback while faults come from outside them; callers
-and servers note what they see, and the promises of the platform's pages are judged from
-that.  ``python -m scripts.soak --seed 7`` runs one seed; `failed_seeds.txt` holds those
-that ever failed.
+The real programs run as processes on loopback while faults are injected from outside.
+Callers and servers record what they observe, and the promises of the platform (the
+invariants and time bounds of `_promises`) are checked against these records.  ``python
+-m scripts.soak --seed 7`` runs one seed; `failed_seeds.txt` lists the seeds that have
+failed.
 
-Not covered: groups of ranks (their map changes are enumerated by
-``group_maps/tests/test_change.py``), clock steps (the programs decide by monotonic time
-only), and more than one machine.
+Not covered: groups of ranks (``group_maps/tests/test_change.py`` enumerates
+their map changes), clock steps (the programs use monotonic time only), and more than
+one machine.
 """
--- a/scripts/soak/__main__.py
+++ b/scripts/soak/__main__.py
@@ -1,7 +1,8 @@
 """Run seeds of the soak.
 
-``make soak SEED=7`` runs one; ``--seeds 1-50`` runs a range, ``--failed`` those that
-ever failed.  One line of JSON a seed; the exit status is 0 if every promise held.
+``make soak SEED=7`` runs one seed; ``--seeds 1-50`` runs a range, ``--failed`` the
+seeds of `failed_seeds.txt`.  Each seed prints a line of JSON; the exit status is 0 if
+every promise held.
 """
 
 import argparse
@@ -16,7 +17,7 @@
 
 from scripts._processes import Interrupted, interruptible, Processes, StartError
 from scripts._progress import Progress
-from scripts.soak._callers import Balancer, Caller, EndingCaller, Prober
+from scripts.soak._callers import Balancer, Caller, CrashingCaller, Prober
 from scripts.soak._cpu_history import CpuHistory
 from scripts.soak._faults import Faults
 from scripts.soak._judged_period import JudgedPeriod, RECOVERY_S
@@ -27,16 +28,16 @@
 from scripts.soak._system import SoakSystem
 
 FAILED_SEEDS = Path(__file__).with_name("failed_seeds.txt")
-# Longer than the time in which servers stop work for a caller that has left, 0.7 s.
+# Longer than the 0.7 s within which servers stop work for a disconnected caller.
 SETTLING_S = 1.0
 CALLERS_PER_GATEWAY = 5
-# Twice what a gateway needs at its peak, 22 MB.
+# Twice the peak memory of a gateway, 22 MB.
 MEMORY_LIMIT_KB = 44_000
-# More than there are callers, so that no two seeds share the draws of one.
-MANY_CALLERS = 10_000
-# Each of them ends three servers; a seed has none to two.
-MOST_ENDING_CALLERS = 2
-BROKEN_SHOWN = 12
+# Above the number of callers, so that no two seeds share a caller's random sequence.
+CALLER_SEEDS_PER_SEED = 10_000
+# A seed has up to this many callers whose requests crash servers, three servers each.
+CRASHING_CALLERS_LIMIT = 2
+SHOWN_FINDINGS_LIMIT = 12
 
 
 async def run_seed(processes, folder, options, seed):
@@ -71,18 +72,18 @@
         for gateway in system.gateways:
             await group.spawn(Prober(gateway, records).run, period)
         for number in range(CALLERS_PER_GATEWAY * options.gateways):
-            caller = Caller(balancer, records, seed * MANY_CALLERS + number)
+            caller = Caller(balancer, records, seed * CALLER_SEEDS_PER_SEED + number)
             await group.spawn(caller.run, period)
-        for number in range(seed % (1 + MOST_ENDING_CALLERS)):
-            own_seed = seed * MANY_CALLERS + number
-            caller = EndingCaller(balancer, records, own_seed, number % 2 == 0)
+        for number in range(seed % (1 + CRASHING_CALLERS_LIMIT)):
+            own_seed = seed * CALLER_SEEDS_PER_SEED + number
+            caller = CrashingCaller(balancer, records, own_seed, number % 2 == 0)
             await group.spawn(caller.run, period)
     for task in background:
         await task.cancel()
-    # What servers do for callers that left at the very end must be over by then.
+    # Work of servers for callers that disconnected at the end has stopped by then.
     await curio.sleep(SETTLING_S)
     for server in system.servers:
-        await system.note_runs(server)
+        await system.record_runs(server)
     _check_processes(system, records)
     records.pauses.read(timer.log_path)
     system.release_ports()
@@ -91,7 +92,7 @@
 
 
 def _check_processes(system, records):
-    """Note gateways that ended by themselves, took much memory or met a defect."""
+    """Record gateways that exited, exceeded the memory limit or logged a traceback."""
     for gateway in system.gateways:
         if not gateway.process.running():
             status = gateway.process.exit_status
@@ -135,7 +136,7 @@
         return True
     for text in records.faults:
         progress.say(text)
-    for finding in broken[:BROKEN_SHOWN]:
+    for finding in broken[:SHOWN_FINDINGS_LIMIT]:
         progress.say(str(finding))
         span_s = finding.from_s, finding.until_s
         for pause in records.pauses.shown(*span_s, records.started_s):
--- a/scripts/soak/_callers.py
+++ b/scripts/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a run, the balancer in front of them, and probes of the configuration."""
+"""Callers of a run, the balancer that they use, and probes of the configuration."""
 
 import random
 import time
@@ -12,18 +12,19 @@
 from standins.platform_service import ENDING_MARK
 
 DEADLINE_MS = 4000
-# Callers listen on for a while, so that an answer that comes too late is seen.
+# Callers wait beyond the route's time-out, so that late answers are recorded.
 ANSWER_WAIT_S = ROUTE_TIMEOUT_S + 2.0
 KINDS = ("streaming", "streaming", "unsafe", "safe")
 PATHS = {"streaming": "/stream/x", "unsafe": "/unsafe/x", "safe": "/safe/x"}
 LEAVING_SHARE = 0.05
-LEAVES_AFTER_S = (0.02, 0.2)
+DISCONNECT_AFTER_S = (0.02, 0.2)
 LONGEST_PAUSE_S = 0.25
 REQUESTS_PER_CONNECTION = 12
-# The first try of a request under which servers end, and the pause before the next.
-FIRST_TRY_AFTER_S = (0.5, 8.0)
-TRY_PAUSE_S = (0.2, 1.5)
-AT_ONCE_SHARE = 0.2
+# Time of the first attempt of a request that crashes servers, and the pause between
+# attempts, seconds.
+FIRST_ATTEMPT_AFTER_S = (0.5, 8.0)
+ATTEMPT_PAUSE_S = (0.2, 1.5)
+ALL_GATEWAYS_SHARE = 0.2
 CHECK_INTERVAL_S = 1.0
 MISSES_LIMIT = 2
 FIRST_PART = "f1257"
@@ -33,12 +34,12 @@
 
 
 class Balancer:
-    """Knows which gateways get new connections.
+    """Tracks which gateways get new connections.
 
     Parameters
     ----------
     system : SoakSystem
-        The gateways.
+        System whose gateways are checked.
     """
 
     __slots__ = ("_misses", "_system")
@@ -54,7 +55,7 @@
         return ready or gateways
 
     async def keep_checking(self):
-        """Ask each gateway once a second until cancelled."""
+        """Check the readiness of each gateway every second until cancelled."""
         while True:
             async with curio.TaskGroup(wait=all) as group:
                 for gateway in self._system.gateways:
@@ -69,16 +70,16 @@
 
 
 class Caller:
-    """Sends one request after the other, on connections that it keeps.
+    """Sends requests one after the other, on persistent connections.
 
     Parameters
     ----------
     balancer : Balancer
         Chooses the gateway of a new connection.
     records : Records
-        Where the requests are noted.
+        Gets a `CallRecord` of each request.
     seed : int
-        For everything that varies.
+        Seed of all random choices.
     """
 
     __slots__ = ("_balancer", "_connection", "_gateway", "_left", "_random", "_records")
@@ -106,14 +107,16 @@
             self._left = REQUESTS_PER_CONNECTION
         self._left -= 1
         kind = self._random.choice(KINDS)
-        leaves = self._random.random() < LEAVING_SHARE
-        wait_s = self._random.uniform(*LEAVES_AFTER_S) if leaves else ANSWER_WAIT_S
+        disconnects = self._random.random() < LEAVING_SHARE
+        wait_s = (
+            self._random.uniform(*DISCONNECT_AFTER_S) if disconnects else ANSWER_WAIT_S
+        )
         request_id = f"soak-{self._records.next_number()}"
         started_s = time.monotonic()
         answer = await self._connection.call(
             "POST",
             PATHS[kind],
-            [*_headers(request_id, ACCOUNT_KEY), _sound_prompt(request_id)],
+            [*_headers(request_id, ACCOUNT_KEY), _shared_prompt_header(request_id)],
             b"report",
             wait_s,
         )
@@ -127,7 +130,7 @@
             answer,
             started_s,
             ended_s,
-            left=leaves and not is_over,
+            left=disconnects and not is_over,
         )
         self._records.calls.append(record)
         if not answer.whole or answer.headers.get("connection") == "close":
@@ -138,13 +141,13 @@
             await self._connection.close()
 
 
-def _sound_prompt(request_id):
-    """Return the header of a prompt about one of a few subjects."""
-    return _stated_prompt(request_id, f"5ab{_number(request_id) % SUBJECTS_COUNT}")
+def _shared_prompt_header(request_id):
+    """Return the prefix header of a prompt that shares its subject with others."""
+    return _prompt_header(request_id, f"5ab{_number(request_id) % SUBJECTS_COUNT}")
 
 
-def _stated_prompt(request_id, *parts):
-    """Return the header of a prompt whose last part no other request has."""
+def _prompt_header(request_id, *parts):
+    """Return the prefix header of a prompt whose last part is unique."""
     own = f"{_number(request_id):x}"
     listed = ",".join(f"{part}:40" for part in (FIRST_PART, *parts, own))
     return "x-prompt-prefix", listed
@@ -154,21 +157,21 @@
     return int(request_id.rpartition("-")[2])
 
 
-class EndingCaller:
-    """Sends requests under which servers end, again and again.
+class CrashingCaller:
+    """Repeatedly sends requests that crash servers.
 
-    They are either alike, or have nothing in common but a part of their prompts.
+    The requests are either identical, or share only a part of their prompts.
 
     Parameters
     ----------
     balancer : Balancer
-        Chooses the gateway of each try.
+        Chooses the gateway of each attempt.
     records : Records
-        Where the tries are noted.
+        Gets a `CallRecord` of each attempt.
     seed : int
-        For everything that varies.
+        Seed of all random choices.
     has_part : bool
-        Whether they share a part only.
+        Whether the requests share only a part of their prompts.
     """
 
     __slots__ = ("_balancer", "_body", "_has_part", "_kind", "_random", "_records")
@@ -182,18 +185,18 @@
         self._body = ENDING_MARK + f" of {seed}".encode()
 
     async def run(self, period):
-        """Try until a `JudgedPeriod` has ended; at times at all gateways at once."""
-        await curio.sleep(self._random.uniform(*FIRST_TRY_AFTER_S))
+        """Send until a `JudgedPeriod` has ended; sometimes to all gateways at once."""
+        await curio.sleep(self._random.uniform(*FIRST_ATTEMPT_AFTER_S))
         while not period.has_ended(time.monotonic()):
             gateways = self._balancer.in_rotation()
-            if self._random.random() > AT_ONCE_SHARE:
+            if self._random.random() > ALL_GATEWAYS_SHARE:
                 gateways = [self._random.choice(gateways)]
             async with curio.TaskGroup(wait=all) as group:
                 for gateway in gateways:
-                    await group.spawn(self._try, gateway)
-            await curio.sleep(self._random.uniform(*TRY_PAUSE_S))
+                    await group.spawn(self._attempt, gateway)
+            await curio.sleep(self._random.uniform(*ATTEMPT_PAUSE_S))
 
-    async def _try(self, gateway):
+    async def _attempt(self, gateway):
         request_id = f"ending-{self._records.next_number()}"
         connection = CallerConnection(gateway.callers, CALLER_HOST)
         started_s = time.monotonic()
@@ -201,7 +204,7 @@
         headers = _headers(request_id, ACCOUNT_KEY)
         body = self._body
         if self._has_part:
-            headers.append(_stated_prompt(request_id, self._body.hex()))
+            headers.append(_prompt_header(request_id, self._body.hex()))
             body += f", {request_id}".encode()
         answer = await connection.call("POST", path, headers, body, ANSWER_WAIT_S)
         await connection.close()
@@ -213,21 +216,21 @@
             answer,
             started_s,
             time.monotonic(),
-            ending_body=self._body,
-            has_ending_part=self._has_part,
+            crashing_body=self._body,
+            has_crashing_part=self._has_part,
         )
         self._records.calls.append(record)
 
 
 class Prober:
-    """Asks a gateway with the keys of the newest two versions.
+    """Probes a gateway with the keys of the two newest configuration versions.
 
     Parameters
     ----------
     gateway : GatewayNode
-        The gateway, asked past its relay.
+        Gateway, which is called directly and not through its relay.
     records : Records
-        Which versions there are, and where answers are noted.
+        Holds the published versions, and gets a `Probe` of each answer.
     """
 
     __slots__ = ("_gateway", "_records")
@@ -237,7 +240,7 @@
         self._records = records
 
     async def run(self, period):
-        """Ask until a `JudgedPeriod` has ended."""
+        """Probe until a `JudgedPeriod` has ended."""
         while not period.has_ended(time.monotonic()):
             newest = self._records.publications[-1].version
             for version in (newest, newest - 1):
--- a/scripts/soak/_cpu_history.py
+++ b/scripts/soak/_cpu_history.py
@@ -1,4 +1,4 @@
-"""How long processes of a run waited for a processor, as the kernel counts it."""
+"""Times that processes of a run waited for a processor, as counted by the kernel."""
 
 import bisect
 import itertools
@@ -9,20 +9,20 @@
 
 from scripts.soak._timer import SHORTEST_PAUSE_S
 
-# Waits shorter than it are told by their sum.
+# Waits that are shorter than this interval are recorded as their sum.
 INTERVAL_S = 0.05
 NANOSECONDS = 1_000_000_000
-# Of the line "cpu" in /proc/stat, after its name.
+# Index of the idle time in the line "cpu" of /proc/stat, without the name.
 IDLE_FIELD = 3
 
 
 class CpuTimes:
-    """Time that a process ran, and time that it waited for a processor.
+    """Run time of a process, and its time of waiting for a processor.
 
     Parameters
     ----------
     ran_s, waited_s : float
-        Seconds since it was started.
+        Totals since the process started, seconds.
     """
 
     __slots__ = ("ran_s", "waited_s")
@@ -32,7 +32,7 @@
         self.waited_s = waited_s
 
     def since(self, earlier):
-        """Return the times since they were read before."""
+        """Return the difference to an earlier reading."""
         return CpuTimes(self.ran_s - earlier.ran_s, self.waited_s - earlier.waited_s)
 
 
@@ -43,7 +43,7 @@
 
 
 def read_idle():
-    """Return the idle time and all time of all processors since the start, in ticks."""
+    """Return idle time and total time of all processors since boot, in ticks."""
     _, *ticks = Path("/proc/stat").read_text().split("\n", 1)[0].split()
     return int(ticks[IDLE_FIELD]), sum(map(int, ticks))
 
@@ -54,22 +54,22 @@
     Parameters
     ----------
     processes : callable
-        Returns the `scripts._processes.StartedProcess` of each name; another process
-        has another name.
+        Returns the `scripts._processes.StartedProcess` by name; a restarted process has
+        a new name.
     """
 
     __slots__ = ("_idle", "_processes", "_read_at_s", "_samples")
 
     def __init__(self, processes):
         self._processes = processes
-        # When they were read, monotonic seconds, and the `CpuTimes` by name.
+        # Monotonic time of each reading, and its `CpuTimes` by process name.
         self._read_at_s = []
         self._samples = []
-        # Idle time and all time of all processors so far, in ticks of the kernel.
+        # Idle time and total time of all processors at each reading, in kernel ticks.
         self._idle = []
 
     def read(self):
-        """Read the times of all processes that run."""
+        """Read the times of all running processes."""
         self._read_at_s.append(time.monotonic())
         self._samples.append(
             {
@@ -87,7 +87,7 @@
             await curio.sleep(INTERVAL_S)
 
     def shown(self, from_s, until_s):
-        """Return a line on each process that waited for long at once in a span."""
+        """Yield a line on each process with a long single wait in a span."""
         for name in self.names():
             longest_s = self.longest_wait_s(name, from_s, until_s)
             if longest_s >= SHORTEST_PAUSE_S:
@@ -98,25 +98,25 @@
                 )
 
     def names(self):
-        """Return the names of all processes that were read."""
+        """Return the sorted names of all processes that were read."""
         return sorted(set().union(*self._samples))
 
     def within(self, name, from_s, until_s):
-        """Return the `CpuTimes` of a process in a span and the moments around it."""
+        """Return the `CpuTimes` of a process between the readings around a span."""
         times = self._times(name, from_s, until_s)
         return times[-1].since(times[0]) if times else CpuTimes(0.0, 0.0)
 
     def longest_wait_s(self, name, from_s, until_s):
-        """Return the longest time of a span that a process waited at once, seconds.
+        """Return the longest single wait of a process within a span, seconds.
 
-        The kernel counts a wait when it ends.  Where the reader was late itself, it may
-        be the sum of some.
+        The kernel counts a wait when it ends.  If a reading was late, the result may be
+        the sum of several waits.
         """
         pairs = itertools.pairwise(self._times(name, from_s, until_s))
         return max((later.since(one).waited_s for one, later in pairs), default=0.0)
 
     def idle_share(self, from_s, until_s):
-        """Return the part of the time of all processors that was idle in a span."""
+        """Return the idle share of the time of all processors in a span."""
         spanned = self._idle[self._span(from_s, until_s)]
         if not spanned:
             return 0.0
@@ -128,6 +128,6 @@
         return [sample[name] for sample in samples if name in sample]
 
     def _span(self, from_s, until_s):
-        """Return the slice of what was read in a span, and next before and after it."""
+        """Return the slice of the readings in a span and the adjacent readings."""
         first = bisect.bisect_right(self._read_at_s, from_s) - 1
         return slice(max(0, first), bisect.bisect_left(self._read_at_s, until_s) + 1)
--- a/scripts/soak/_faults.py
+++ b/scripts/soak/_faults.py
@@ -1,4 +1,4 @@
-"""Carrying out the faults of a plan."""
+"""Injection of the faults of a plan."""
 
 import random
 import signal
@@ -10,7 +10,7 @@
 from scripts._processes import StartError
 from scripts.soak._plan import DOMAINS, FAULT_KINDS, GATEWAY, LIMITED, SERVER, STORE
 from scripts.soak._records import NamedLimit
-from scripts.soak._system import GRACE_S, LAPSE_S, link, SERVE_ON_S, TARGETS_TOPIC
+from scripts.soak._system import DRAIN_S, EXPIRY_S, GRACE_S, link, TARGETS_TOPIC
 
 POLL_S = 0.02
 MANY = 1000
@@ -19,14 +19,14 @@
 DIRECTIONS = (["to"], ["from"], ["to", "from"])
 STORM_COUNT = 5
 STORM_GAP_S = 0.15
-# Part of the fault for which the store goes on after the copy was made.
+# Share of the fault's duration in which the store still runs after the copy.
 COPY_AGE_SHARE = 0.8
-SPOILT_SHARE = 0.08
-# Part of the requests that a server turns away, and the back-off that it requests.
+ANSWER_FAULT_SHARE = 0.08
+# Shares of requests that a server declines, and back-offs that it requests, seconds.
 BACKOFF_SHARES = (0.2, 0.6, 1.0)
 BACKOFFS_S = (0.7, 1.5, 3.0)
 LIMITS_PER_S = ("0", "1", "3", "6.5")
-# What is done to a process itself, and not to its links.
+# Faults of a process itself, as opposed to its links.
 PROCESS_KINDS = (
     "freeze server",
     "kill server",
@@ -34,16 +34,16 @@
     "kill gateway",
     "stop gateway",
 )
-SPOILT_WAYS = ("lose", "cut", "twice", "another", "nonsense", "hang", "fail")
+ANSWER_FAULTS = ("lose", "cut", "twice", "another", "nonsense", "hang", "fail")
 
 
 class Faults:
-    """Carries out faults, each in a task of its own.
+    """Injects faults, each in a task of its own.
 
     Parameters
     ----------
     system : SoakSystem
-        What they are done to.
+        System that the faults are injected into.
     """
 
     __slots__ = (
@@ -58,29 +58,29 @@
         self._system = system
         self._records = system.records
         self._settings_number = 0
-        # Faults of the store that last at present, the newest last.
+        # Modes of the store's active faults, the newest last.
         self._store_modes = []
-        # Faults that end at one moment must reach the store in that order; else the
-        # last but one may leave it as it is for good.
+        # Mode changes must reach the store in the order of `_store_modes`; when faults
+        # end together, an overtaken change would otherwise leave a stale mode for good.
         self._store_lock = curio.Lock()
 
     async def run(self, plan, started_s):
-        """Carry out a plan; return when every fault of it has ended."""
+        """Inject the faults of a plan; return when every fault has ended."""
         async with curio.TaskGroup(wait=all) as group:
             for fault in plan:
                 await curio.sleep(max(0.0, started_s + fault.at_s - time.monotonic()))
-                await group.spawn(self._carry_out, fault)
+                await group.spawn(self._inject, fault)
 
-    async def _carry_out(self, fault):
+    async def _inject(self, fault):
         part, _ = FAULT_KINDS[fault.kind]
         subject = self._subject(part, fault.subject)
         self._records.faults.append(str(fault))
-        carry_out = _WAYS[fault.kind]
+        inject = _INJECTIONS[fault.kind]
         if part not in (GATEWAY, SERVER, STORE):
-            await carry_out(self, subject, fault)
+            await inject(self, subject, fault)
             return
         name = (part, subject.name if subject is not None else part)
-        # A planned stop must cut nothing off; it counts by itself.
+        # A planned stop must not abort any request, so it is a kind of its own.
         kind = "stop" if fault.kind == "stop gateway" else name[0]
         disturbed = [(kind, name[1])]
         if fault.kind in PROCESS_KINDS:
@@ -88,7 +88,7 @@
         begin = self._records.disruptions.begin
         spans = [begin(one, time.monotonic()) for one in disturbed]
         try:
-            await carry_out(self, subject, fault)
+            await inject(self, subject, fault)
         except StartError as error:
             self._records.troubles.append(f"{fault}: {error}")
         finally:
@@ -103,7 +103,7 @@
         return None
 
     async def freeze(self, node, fault):
-        """Stop a process and let it go on later."""
+        """Freeze a process and thaw it later."""
         if not node.process.running():
             return
         node.process.freeze()
@@ -115,7 +115,7 @@
         await self._restart_gateway(gateway, signal.SIGKILL, fault.for_s)
 
     async def stop_gateway(self, gateway, fault):
-        """Stop a gateway as planned, kill it when its time is up, start it again."""
+        """Stop a gateway, kill it after its grace period, and start it again."""
         await self._restart_gateway(gateway, signal.SIGTERM, fault.for_s)
 
     async def _restart_gateway(self, gateway, number, pause_s):
@@ -128,7 +128,7 @@
             now_s = time.monotonic()
             if now_s > began_s + STOP_WAIT_S:
                 subject = (GATEWAY, gateway.name)
-                if self._records.disruptions.is_untouched(subject, began_s, now_s):
+                if self._records.disruptions.is_undisturbed(subject, began_s, now_s):
                     self._records.troubles.append(f"{gateway.name} had to be killed")
                 process.kill()
             await curio.sleep(POLL_S)
@@ -138,7 +138,7 @@
             await self._system.until_ready(gateway)
 
     async def reload_gateway(self, gateway, fault):
-        """Change a gateway's settings file and tell it so, or not."""
+        """Change a gateway's settings file, with or without a SIGHUP."""
         text = gateway.settings_path.read_text()
         self._settings_number += 1
         text += f"\n# change {self._settings_number}\n"
@@ -147,46 +147,46 @@
             gateway.process.send_signal(signal.SIGHUP)
 
     async def delay(self, node, fault, relay=0):
-        """Hold up what a link carries."""
+        """Delay the data on a link."""
         delay_ms = random.Random(fault.seed).randint(20, 300)
-        await self._hurt_link(node, relay, fault.for_s, delay_ms=delay_ms)
+        await self._disturb_link(node, relay, fault.for_s, delay_ms=delay_ms)
 
     async def cut(self, node, fault, relay=0):
-        """Let nothing pass over a link, one way or both."""
+        """Cut a link in one or both directions."""
         ways = random.Random(fault.seed).choice(DIRECTIONS)
-        await self._hurt_link(node, relay, fault.for_s, cut=ways)
+        await self._disturb_link(node, relay, fault.for_s, cut=ways)
 
     async def reset(self, node, fault, relay=0):
         """Reset all connections of a link."""
         await link(node, "/reset", relay)
 
     async def silence(self, node, fault, relay=0):
-        """Let all connections of a link go silent for good."""
+        """Silence all present connections of a link for good."""
         await link(node, "/silence", relay, connections=MANY)
 
     async def kill_server(self, server, fault):
-        """Kill a server; a new one comes at its address."""
+        """Kill a server and start a new instance at its address."""
         old_id = server.instance_id
         if await self._replace(server, old_id, fault.for_s):
-            await curio.sleep(LAPSE_S)
+            await curio.sleep(EXPIRY_S)
             await self._system.drop(old_id)
 
     async def retire_server(self, server, fault):
-        """Let a server leave as planned, and a new one come at its address."""
+        """Drain a server and start a new instance at its address."""
         old_id = server.instance_id
         if server.is_down or server.state != "ready":
             return
         await self._system.announce_leaving(server)
-        await curio.sleep(SERVE_ON_S)
+        await curio.sleep(DRAIN_S)
         if await self._replace(server, old_id, 0.0):
             await self._system.drop(old_id)
 
     async def _replace(self, server, old_id, pause_s):
-        """Kill a start of a server and begin another; return whether it was there."""
+        """Replace an instance of a server; return False if it was gone already."""
         async with server.lock:
             if server.instance_id != old_id or server.is_down:
                 return False
-            await self._system.note_runs(server)
+            await self._system.record_runs(server)
             server.is_down = True
             server.process.kill()
             server.process.wait()
@@ -194,53 +194,55 @@
             self._system.start_server(server)
             return True
 
-    async def spoil_answers(self, server, fault):
-        """Let a server lose, break or garble some answers."""
-        ways = random.Random(fault.seed).sample(SPOILT_WAYS, 3)
-        await self._spoil(server, dict.fromkeys(ways, SPOILT_SHARE), fault.seed)
+    async def corrupt_answers(self, server, fault):
+        """Make a server lose, truncate or corrupt some answers."""
+        ways = random.Random(fault.seed).sample(ANSWER_FAULTS, 3)
+        await self._set_answer_faults(
+            server, dict.fromkeys(ways, ANSWER_FAULT_SHARE), fault.seed
+        )
         await curio.sleep(fault.for_s)
-        await self._spoil(server, {}, fault.seed)
+        await self._set_answer_faults(server, {}, fault.seed)
 
     async def name_limit(self, server, fault):
-        """Let the answers of a server name a limit for a while."""
+        """Make the answers of a server state a limit for a while."""
         limit = random.Random(fault.seed).choice(LIMITS_PER_S)
         instance_id = server.instance_id
-        await self._state(server, limit=limit)
+        await self._set_stated(server, limit=limit)
         named_s = time.monotonic()
         await curio.sleep(fault.for_s)
         ended_s = time.monotonic()
         if server.instance_id == instance_id:
-            await self._state(server, limit=None)
+            await self._set_stated(server, limit=None)
             self._records.limits.append(
                 NamedLimit(instance_id, float(limit), named_s, ended_s)
             )
 
     async def request_backoff(self, server, fault):
-        """Let a server turn requests away for a while and request back-off."""
+        """Make a server decline requests and request back-off for a while."""
         drawn = random.Random(fault.seed)
         instance_id = server.instance_id
         backoff = [drawn.choice(BACKOFF_SHARES), drawn.choice(BACKOFFS_S)]
-        await self._state(server, backoff=backoff)
+        await self._set_stated(server, backoff=backoff)
         await curio.sleep(fault.for_s)
         if server.instance_id == instance_id:
-            await self._state(server, backoff=None)
+            await self._set_stated(server, backoff=None)
 
-    async def say_leaving(self, server, fault):
-        """Let a server leave that says so in its answers only."""
+    async def announce_leaving_in_answers(self, server, fault):
+        """Replace a server that announces only in its answers that it leaves."""
         old_id = server.instance_id
         if server.is_down or server.state != "ready":
             return
-        await self._state(server, leaving=True)
-        await curio.sleep(SERVE_ON_S)
+        await self._set_stated(server, leaving=True)
+        await curio.sleep(DRAIN_S)
         if await self._replace(server, old_id, 0.0):
             await self._system.drop(old_id)
 
-    async def _state(self, server, **stated):
+    async def _set_stated(self, server, **stated):
         if not server.is_down and server.process.running():
             await self._system.set_server(server, **stated)
 
     async def store_mode(self, subject, fault, mode, lapse=False):
-        """Let the store turn everybody away for a while."""
+        """Set a failure mode of the store for a while; `lapse` drops all targets."""
         token = (mode, fault.seed)
         async with self._store_lock:
             self._store_modes.append(token)
@@ -254,13 +256,13 @@
             left = self._store_modes[-1][0] if self._store_modes else "up"
             await self._system.set_store(mode=left)
 
-    async def store_forgets(self, subject, fault):
-        """Let the store drop old records of both topics."""
+    async def compact_store(self, subject, fault):
+        """Make the store drop the old records of both topics."""
         for topic in (TARGETS_TOPIC, "keyed.op"):
             await self._system.set_store(forget=topic)
 
-    async def store_comes_back_older(self, subject, fault):
-        """Let the store go away for a moment and come back from a copy."""
+    async def restore_older_store(self, subject, fault):
+        """Make the store unavailable and restore an older copy."""
         await self._system.set_store(copy=True)
         await curio.sleep(fault.for_s * COPY_AGE_SHARE)
         token = ("busy", fault.seed)
@@ -272,37 +274,37 @@
             self._store_modes.remove(token)
             left = self._store_modes[-1][0] if self._store_modes else "up"
             await self._system.set_store(restore=True, mode=left)
-        await self._system.write_again()
+        await self._system.rewrite_entries()
 
     async def publish(self, subject, fault, count=1):
-        """Publish a version, or a quick series of them."""
+        """Publish a configuration version, or several in quick succession."""
         for _ in range(count):
             await self._system.publish()
             await curio.sleep(STORM_GAP_S)
 
     async def evacuate(self, subject, fault):
-        """Evacuate a failure domain, and take it back later."""
+        """Evacuate a failure domain, and withdraw the evacuation later."""
         evacuation = await self._system.evacuate(DOMAINS[fault.subject])
         await curio.sleep(fault.for_s)
-        await self._system.take_back(evacuation)
+        await self._system.withdraw_evacuation(evacuation)
 
     async def turn_cold(self, server, fault):
-        """Let a server turn cold and say so."""
+        """Make a server cold, as its entry in the store then states."""
         if server.is_down or server.state != "ready":
             return
         await self._system.turn_cold(server, fault.for_s)
 
-    async def _hurt_link(self, node, relay, for_s, **values):
+    async def _disturb_link(self, node, relay, for_s, **values):
         await link(node, "/link", relay, **values)
         await curio.sleep(for_s)
         await link(node, "/link", relay)
 
-    async def _spoil(self, server, shares, seed):
+    async def _set_answer_faults(self, server, shares, seed):
         if not server.is_down and server.process.running():
             await self._system.set_server(server, shares=shares, seed=seed)
 
 
-_WAYS = {
+_INJECTIONS = {
     "freeze gateway": Faults.freeze,
     "kill gateway": Faults.kill_gateway,
     "stop gateway": Faults.stop_gateway,
@@ -318,10 +320,10 @@
     "freeze server": Faults.freeze,
     "kill server": Faults.kill_server,
     "retire server": Faults.retire_server,
-    "spoil answers": Faults.spoil_answers,
+    "spoil answers": Faults.corrupt_answers,
     "name a limit": Faults.name_limit,
     "request back-off": Faults.request_backoff,
-    "say leaving": Faults.say_leaving,
+    "say leaving": Faults.announce_leaving_in_answers,
     "delay server link": Faults.delay,
     "reset server link": Faults.reset,
     "silence server link": Faults.silence,
@@ -331,8 +333,8 @@
     "store silent": partial(Faults.store_mode, mode="silent"),
     "store resets": partial(Faults.store_mode, mode="reset"),
     "store deaf": partial(Faults.store_mode, mode="deaf"),
-    "store forgets": Faults.store_forgets,
-    "store comes back older": Faults.store_comes_back_older,
+    "store forgets": Faults.compact_store,
+    "store comes back older": Faults.restore_older_store,
     "entries lapse": partial(Faults.store_mode, mode="busy", lapse=True),
     "evacuate domain": Faults.evacuate,
     "turn cold": Faults.turn_cold,
--- a/scripts/soak/_judged_period.py
+++ b/scripts/soak/_judged_period.py
@@ -1,33 +1,35 @@
-"""When a run is judged at its end, and when it is over."""
+"""Period at the end of a run in which recovery is judged."""
 
-# The time in which all must serve again once everything is back.
+# Time within which all gateways must serve again after the last fault has ended.
 RECOVERY_S = 6.0
 JUDGED_END_S = 2.0
-# Each end of a server adds 1 s until it is back and 4 s in which it is cold; two
-# requests may end six.  Servers that end again and again are judged all the same.
+# Each crash of a server adds 1 s until its restart and 4 s in which it is cold; two
+# requests may crash six servers.  With servers that crash repeatedly, the period still
+# starts after this time.
 LONGEST_COLD_S = 30.0
 
 
 class JudgedPeriod:
-    """The last seconds of a run, from when servers are back and no longer cold.
+    """Last seconds of a run, after servers have restarted and are no longer cold.
 
-    Gateways must refuse most of what callers send while all servers are cold, also if
-    these started after the last fault since a request had ended them.
+    While all servers are cold, gateways must refuse most requests, also if the servers
+    restarted after the last fault because a request had crashed them.
 
     Parameters
     ----------
     servers : list of scripts.soak._system.ServerNode
-        Their ``cold_until_s`` is read.
+        Servers whose ``cold_until_s`` is read.
     recovered_s : float
-        Not from before that, monotonic seconds.
+        Earliest start of the period, monotonic seconds.
     pauses : scripts.soak._pauses.Pauses
-        Those that the soak has seen itself are not counted, so that callers have the
+        Pauses of the soak's own process extend the period, so that callers have the
         same time to send requests.
 
     Attributes
     ----------
     from_s : float
-        When it begins, monotonic seconds; later if a server starts before its end.
+        Start of the period, monotonic seconds; moves to a later time if a server starts
+        before the end of the period.
     """
 
     __slots__ = ("_has_ended", "_latest_s", "_pauses", "_servers", "from_s")
@@ -40,12 +42,12 @@
         self.from_s = recovered_s
 
     def has_ended(self, now_s):
-        """Return whether the run is over; what happens after that moves nothing.
+        """Return whether the period has ended; once ended, it stays ended.
 
         Parameters
         ----------
         now_s : float
-            Monotonic seconds.
+            Present time, monotonic seconds.
         """
         if not self._has_ended:
             warm_s = max(server.cold_until_s for server in self._servers)
--- a/scripts/soak/_pauses.py
+++ b/scripts/soak/_pauses.py
@@ -1,4 +1,4 @@
-"""Pauses of the machine, measured beside a run."""
+"""Pauses of the machine, measured during a run."""
 
 import json
 import sys
@@ -11,12 +11,12 @@
 
 
 class Pause:
-    """A span in which a timer that was due did not fire.
+    """Span in which a due timer did not fire.
 
     Parameters
     ----------
     began_s, ended_s : float
-        Monotonic seconds; all processes of a host share that clock.
+        Monotonic seconds; all processes of a host share this clock.
     """
 
     __slots__ = ("began_s", "ended_s")
@@ -27,28 +27,29 @@
 
     @property
     def length_s(self):
-        """Its length, seconds."""
+        """Length, seconds."""
         return self.ended_s - self.began_s
 
     def overlap_s(self, from_s, until_s):
-        """Return how much of it lies in a span, seconds."""
+        """Return the length of the overlap with a span, seconds."""
         return max(0.0, min(self.ended_s, until_s) - max(self.began_s, from_s))
 
 
 class Pauses:
-    """Pauses that two independent timers have seen.
+    """Pauses that two independent timers detected.
 
     Parameters
     ----------
     shortest_s : float
-        Shorter delays of the own timer are not noted, seconds.
+        Shorter delays of the soak's own timer are not recorded, seconds.
 
     Attributes
     ----------
     of_machine : list of Pause
-        As the process of `scripts.soak._timer` sees them, which does nothing else.
+        Pauses that the otherwise idle process of `scripts.soak._timer` detected.
     of_soak : list of Pause
-        As the soak's own process sees them, also when it alone was busy.
+        Pauses that the soak's own process detected; includes delays in which only this
+        process was busy.
     """
 
     __slots__ = ("_shortest_s", "of_machine", "of_soak")
@@ -59,7 +60,7 @@
         self.of_soak = []
 
     async def keep_watching(self):
-        """Note when the soak's own timer fires late, until cancelled."""
+        """Record late firings of the soak's own timer until cancelled."""
         while True:
             due_s = time.monotonic() + TIMER_S
             await curio.sleep(TIMER_S)
@@ -68,16 +69,16 @@
                 self.of_soak.append(Pause(due_s, now_s))
 
     def read(self, log_path):
-        """Take what the process that only sleeps has printed."""
-        # The last line may be half printed.
+        """Read the pauses that the timer process has printed."""
+        # The last line may be incomplete.
         lines = log_path.read_text().split("\n")[:-1]
         self.of_machine = [Pause(*json.loads(line)) for line in lines]
 
     def running_s(self, from_s, until_s):
-        """Return how long the machine ran in a span, seconds.
+        """Return the time in which the machine ran within a span, seconds.
 
-        Only time in which both timers stood still is taken off: either process may be
-        held up alone.
+        Only time in which both timers were paused is subtracted, since a single process
+        may be delayed on its own.
         """
         return (
             until_s
@@ -92,7 +93,7 @@
         )
 
     def shown(self, from_s, until_s, start_s):
-        """Return a line on each pause that overlaps a span; times since `start_s`."""
+        """Return a line on each pause that overlaps a span, timed from `start_s`."""
         named = [("machine", one) for one in self.of_machine]
         named += [("soak's process", one) for one in self.of_soak]
         return [
@@ -103,7 +104,7 @@
 
 
 def start_timer(processes, shortest_s=SHORTEST_PAUSE_S):
-    """Start the process that only sleeps; its log holds what it has seen."""
+    """Start the timer process; its log contains the pauses that it detects."""
     timer_path = ROOT / "scripts" / "soak" / "_timer.py"
     command = [sys.executable, str(timer_path), str(shortest_s)]
     return processes.start("timer", command)
--- a/scripts/soak/_plan.py
+++ b/scripts/soak/_plan.py
@@ -1,10 +1,10 @@
-"""Which faults a seed brings, and when."""
+"""Plan of a seed: its faults and their times."""
 
 import random
 
 GATEWAY, SERVER, STORE, OPERATOR = "gateway", "server", "store", "operator"
 DOMAINS = ("a", "b")
-# Kind of fault: what it is done to, and how long it lasts, seconds.
+# Kind of fault: its target part, and the range of its duration, seconds.
 FAULT_KINDS = {
     "freeze gateway": (GATEWAY, (0.2, 3.0)),
     "kill gateway": (GATEWAY, (0.1, 1.5)),
@@ -36,18 +36,18 @@
     "publish storm": (OPERATOR, (0.0, 0.0)),
 }
 DRAWN_KINDS = list(FAULT_KINDS)
-# Drawn beside the others, so that the plans of earlier seeds stay as they were.
+# Drawn from a generator of its own, so that the plans of existing seeds don't change.
 RESTORE_KIND = "store comes back older"
 RESTORE_SPAN_S = (1.0, 4.0)
 RESTORES_LIMIT = 2
 FAULT_KINDS[RESTORE_KIND] = (STORE, RESTORE_SPAN_S)
-# A server that names a limit is not disturbed by that.
+# A server that only states a limit doesn't count as disturbed.
 LIMITED = "limited server"
 LIMIT_KIND = "name a limit"
-# Long enough for a window that counts: 3 s until a limit holds, and 4 s.
+# Long enough for a window that is judged: 3 s until a limit binds, plus the 4 s window.
 LIMIT_SPAN_S = (8.0, 11.0)
 FAULT_KINDS[LIMIT_KIND] = (LIMITED, LIMIT_SPAN_S)
-# Longer than gateways wait for an answer, so that they give requests up meanwhile.
+# Longer than gateways wait for an answer, so that requests time out during the cut.
 LONG_CUT_KIND = "cut server link for long"
 LONG_CUT_SPAN_S = (4.0, 7.0)
 LONG_CUTS_LIMIT = 2
@@ -58,21 +58,21 @@
 LEAVING_KIND = "say leaving"
 FAULT_KINDS[LEAVING_KIND] = (SERVER, (0.0, 0.0))
 LEAVINGS_LIMIT = 2
-# Seeds from this one on bring evacuated domains and cold servers; the plans and systems
-# of those before stay as they were.
+# Seeds from this number on have evacuated domains and cold servers; the plans and
+# systems of lower seeds don't change.
 COLD_FROM_SEED = 1000
 EVACUATION_KIND = "evacuate domain"
-# Longer than gateways may take to obey.
+# Longer than the bound within which gateways must apply an evacuation.
 EVACUATION_SPAN_S = (8.0, 11.0)
 FAULT_KINDS[EVACUATION_KIND] = (OPERATOR, EVACUATION_SPAN_S)
 COLD_KIND = "turn cold"
 COLD_SPAN_S = (4.0, 6.0)
 FAULT_KINDS[COLD_KIND] = (LIMITED, COLD_SPAN_S)
 COLD_LIMIT = 3
-# Each start during the load is cold.
+# Kinds that restart a server; a server that starts during the load is cold.
 START_KINDS = ("kill server", "retire server")
-# Few faults leave parts alone for long enough that time bounds hold for them; many
-# overlap.
+# Range of the fault rate: at a low rate parts stay undisturbed for long enough that
+# time bounds hold for them; at a high rate faults overlap.
 FAULTS_PER_S = (0.3, 2.5)
 SERIES_SHARE = 0.3
 SERIES_LENGTH = 3
@@ -80,20 +80,20 @@
 
 
 class Fault:
-    """One fault of a plan.
+    """A fault of a plan.
 
     Parameters
     ----------
     kind : str
-        Of `FAULT_KINDS`.
+        Key of `FAULT_KINDS`.
     subject : int
-        Number of the gateway or the server.
+        Index of the gateway, server or domain.
     at_s : float
-        Seconds from the start of the load.
+        Start, seconds after the start of the load.
     for_s : float
-        How long it lasts.
+        Duration, seconds.
     seed : int
-        For what it draws itself.
+        Seed of the random choices within the fault.
     """
 
     __slots__ = ("at_s", "for_s", "kind", "seed", "subject")
@@ -110,18 +110,18 @@
 
 
 def draw_plan(seed, trouble_s, gateway_count, server_count):
-    """Return the faults of a seed, by time.
+    """Return the faults of a seed, sorted by start.
 
-    Some come as a series of the same kind on the same part; any of them may overlap.
+    Some form a series of the same kind on the same part; any faults may overlap.
 
     Parameters
     ----------
     seed : int
-        The seed.
+        Seed of the run.
     trouble_s : float
-        All of them have ended by then.
+        Time by which all faults have ended, seconds after the start of the load.
     gateway_count, server_count : int
-        Parts to choose from.
+        Number of gateways and servers.
     """
     drawn = random.Random(seed)
     per_second = drawn.uniform(*FAULTS_PER_S)
@@ -151,12 +151,12 @@
 
 
 def has_cold_servers(seed):
-    """Return whether a seed brings evacuated domains, and servers that start cold."""
+    """Return whether a seed has evacuated domains, and servers that start cold."""
     return seed >= COLD_FROM_SEED
 
 
 def _draw_restores(seed, trouble_s):
-    """Return the restores of the store that a seed brings, often none."""
+    """Return the restores of the store in a seed, often none."""
     drawn = random.Random(f"restores {seed}")
     restores = []
     for _ in range(drawn.randint(0, RESTORES_LIMIT)):
@@ -168,7 +168,7 @@
 
 
 def _draw_limits(seed, trouble_s, server_count):
-    """Return the limits that servers name in a seed: none, some, or all of them do."""
+    """Return the limits that none, some or all servers of a seed state."""
     drawn = random.Random(f"limits {seed}")
     limits = []
     for server in drawn.sample(range(server_count), drawn.randint(0, server_count)):
@@ -191,7 +191,7 @@
 
 
 def _draw_backoffs(seed, trouble_s, server_count):
-    """Return when servers request back-off in a seed: none, some, or all of them do."""
+    """Return the back-offs that none, some or all servers of a seed request."""
     drawn = random.Random(f"backoffs {seed}")
     backoffs = []
     for server in drawn.sample(range(server_count), drawn.randint(0, server_count)):
@@ -204,7 +204,7 @@
 
 
 def _draw_leavings(seed, trouble_s, server_count):
-    """Return the servers of a seed that leave and say so in their answers only."""
+    """Return the servers of a seed that leave and announce it only in answers."""
     drawn = random.Random(f"leavings {seed}")
     return [
         Fault(
@@ -219,7 +219,7 @@
 
 
 def _draw_evacuations(seed, trouble_s):
-    """Return the domains that operators evacuate in a seed: none, one or all."""
+    """Return the evacuations of none, one or all domains in a seed."""
     drawn = random.Random(f"evacuations {seed}")
     evacuations = []
     for number in drawn.sample(range(len(DOMAINS)), drawn.randint(0, len(DOMAINS))):
@@ -232,7 +232,7 @@
 
 
 def _draw_cold(seed, trouble_s, server_count):
-    """Return the servers of a seed that turn cold, or start anew and are cold then."""
+    """Return the servers of a seed that become cold, some by a restart."""
     drawn = random.Random(f"cold {seed}")
     faults = []
     for _ in range(drawn.randint(0, COLD_LIMIT)):
--- a/scripts/soak/_promises.py
+++ b/scripts/soak/_promises.py
@@ -1,9 +1,10 @@
-"""What must hold in every run, judged from what callers and servers saw.
+"""Promises (invariants and time bounds) that every run must keep.
 
-Each check takes `Records` and returns a `Finding` for each promise that was broken.
-Time bounds hold for gateways that were left alone for a while, as did the store.  Time
-in which two independent timers stood still at once, since the machine ran nothing, is
-taken off what a caller waited; the rest must keep the bound.
+Each check takes the `Records` and the `Runs` of a soak run and returns a `Finding` for
+each violation.  Time bounds hold only for gateways that were undisturbed for a stable
+window, and for a store that was undisturbed as well.  Time in which two independent
+timers were paused at once, since the machine ran nothing, is subtracted from a caller's
+wait; the rest must keep the bound.
 """
 
 import collections
@@ -22,37 +23,39 @@
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 DENIED_STATUSES = (401, 403, 404)
-# Bounds of the platform's first deployments; the last is for the clocks of processes.
+# Time bounds of the platform.
 IN_FORCE_S = 2.0
 LEAVING_S = 2.0
 FINAL_ANSWER_S = 0.5
-LEFT_BEHIND_S = 0.5
+ABANDONED_WORK_S = 0.5
 REGRESS_S = 0.25
 ARRIVED_LATE_S = 0.5
 BACKOFF_SLACK_S = 0.5
 BACKOFF_COUNT = 2
 LIMIT_SETTLED_S = 3.0
-LIMIT_TOLD_S = 0.5
+LIMIT_PROPAGATION_S = 0.5
 LIMIT_WINDOW_S = 4.0
 LIMIT_RATIO = 1.5
 LIMIT_COUNT = 5
 EVACUATED_S = 5.0
 COLD_WINDOW_S = 1.0
-# As for a server that leaves: the time in which gateways in touch learn of an entry.
+# Time within which gateways in touch with the store learn of a changed entry, as for a
+# server that leaves.
 COLD_KNOWN_S = 2.0
-MEASURING_S = 0.2
-SERVED_AT_THE_END = 0.9
-# Twice what a stream lasts; with less the machine left the gateways no time to serve.
-SERVING_S = 0.5
-ENDED_SERVERS_LIMIT = 3
-# After so many ends under a part of prompts, so many more requests may reach servers.
-ENDED_UNDER_PART_LIMIT = 5
+MEASUREMENT_SLACK_S = 0.2
+LEAST_SERVED_SHARE = 0.9
+# Twice the length of a stream; a request with less running time could not be served.
+LEAST_SERVING_TIME_S = 0.5
+CRASHED_SERVERS_LIMIT = 3
+# After this many crashes under a shared part of prompts, this many more requests with
+# that part may reach servers.
+CRASHES_UNDER_PART_LIMIT = 5
 LATE_WITH_PART_LIMIT = 3
 STORE = ("store", "store")
 
 
 def ran_twice(records, runs):
-    """Requests that may run once, and ran more often."""
+    """Find unsafe requests that ran more than once."""
     return [
         _of_call(f"ran {len(runs.of(call))} times", call)
         for call in records.calls
@@ -61,7 +64,7 @@
 
 
 def refused_but_ran(records, runs):
-    """Answers that promise that nothing ran, though it did."""
+    """Find unsafe requests that ran although the answer states that they did not."""
     return [
         _of_call("refused but ran", call)
         for call in records.calls
@@ -72,7 +75,7 @@
 
 
 def wrong_answer(records, runs):
-    """Successes that are not the server's whole answer, or go wrong on the way."""
+    """Find answers of status 200 that differ from the server's answer."""
     broken = []
     for call in records.calls:
         answer = call.answer
@@ -87,20 +90,20 @@
 
 
 def answer_lost(records, runs):
-    """Requests that a sound server answered, and whose connection ended without."""
+    """Find requests that a sound server answered and whose caller got no answer."""
     return [
         _of_call("answer lost", call)
         for call in records.calls
         if call.answer.status is None
         and not call.left
-        and _is_untouched(records, call)
-        and runs.sound(call)
+        and _is_gateway_stable(records, call)
+        and runs.answered_undisturbed(call)
     ]
 
 
 def held_too_long(records, runs):
-    """Requests without a final answer half a second after their route's time."""
-    limit_s = ROUTE_TIMEOUT_S + FINAL_ANSWER_S + MEASURING_S
+    """Find requests without a final answer 0.5 s after their route's time-out."""
+    limit_s = ROUTE_TIMEOUT_S + FINAL_ANSWER_S + MEASUREMENT_SLACK_S
     return [
         _of_call("held too long", call)
         for call in records.calls
@@ -111,7 +114,7 @@
 
 
 def denied(records, runs):
-    """Requests that every version allows, and that were denied."""
+    """Find denied requests that every configuration version allows."""
     return [
         _of_call("denied", call)
         for call in records.calls
@@ -120,7 +123,7 @@
 
 
 def not_asked_for(records, runs):
-    """Runs of requests that no caller sent, or for another account."""
+    """Find runs of requests that no caller sent, or of another client account."""
     sent = {call.request_id for call in records.calls}
     broken = []
     for instance_id, of_server in records.runs.items():
@@ -134,11 +137,11 @@
 
 
 def leaving_server_used(records, runs):
-    """Requests that reached a server long after it had said that it leaves."""
+    """Find requests that reached a server too late after it reported its departure."""
     gateways = {call.request_id: call.gateway for call in records.calls}
     broken = []
     for leaving in records.leavings:
-        limit_s = leaving.confirmed_s + LEAVING_S + MEASURING_S
+        limit_s = leaving.confirmed_s + LEAVING_S + MEASUREMENT_SLACK_S
         server = ("server", records.server_of[leaving.instance_id])
         for run in records.runs.get(leaving.instance_id, ()):
             gateway = gateways.get(run["request_id"])
@@ -146,8 +149,9 @@
                 continue
             since_s = leaving.confirmed_s
             if _is_in_touch_with_store(records, gateway, since_s, run["arrived_s"]):
-                # Its leaving is itself a disturbance of the server; its link's are
-                # told by when the request arrived, late ones are not counted.
+                # The departure itself is recorded as a disturbance of the server, so a
+                # stable server can't be required here.  Disturbances of its link show
+                # in the arrival time of the request.
                 late_s = run["arrived_s"] - leaving.confirmed_s
                 text = f"{server[1]} used {late_s:.2f} s after: {run}"
                 broken.append(Finding(text, since_s, run["arrived_s"]))
@@ -155,7 +159,7 @@
 
 
 def configuration_late(records, runs):
-    """Probes that show an old version though a newer one must be in force."""
+    """Find probes that show an old version although a newer one must be in force."""
     broken = []
     for probe in records.probes:
         newest = _newest_due(records, probe.sent_s)
@@ -172,7 +176,7 @@
 
 
 def configuration_regressed(records, runs):
-    """Probes that show an older version than the same process had shown before."""
+    """Find probes that show an older version than before from the same process."""
     broken = []
     seen = {}
     for probe in sorted(records.probes, key=lambda one: one.sent_s):
@@ -189,34 +193,34 @@
 
 
 def worked_on_for_nobody(records, runs):
-    """Servers that still work on what may be repeated, for a caller that has left."""
+    """Find repeatable requests that still run after their caller disconnected."""
     broken = []
     for call in records.calls:
         if not call.left or call.kind == "unsafe":
             continue
         if not _is_in_touch(records, call.gateway, call.started_s, call.ended_s):
             continue
-        limit_s = call.ended_s + LEFT_BEHIND_S + MEASURING_S
+        limit_s = call.ended_s + ABANDONED_WORK_S + MEASUREMENT_SLACK_S
         for instance_id, run in runs.of(call):
             server = ("server", records.server_of[instance_id])
-            is_calm = records.disruptions.is_calm(server, call.started_s, limit_s)
-            if is_calm and (run["ended_s"] is None or run["ended_s"] > limit_s):
+            is_stable = records.disruptions.is_stable(server, call.started_s, limit_s)
+            if is_stable and (run["ended_s"] is None or run["ended_s"] > limit_s):
                 broken.append(_of_call(f"worked on for nobody at {instance_id}", call))
     return broken
 
 
 def arrived_after_the_end(records, runs):
-    """Requests that reached a server long after their caller had the final answer."""
+    """Find requests that reached a server too late after their final answer."""
     broken = []
     for call in records.calls:
-        limit_s = call.ended_s + ARRIVED_LATE_S + MEASURING_S
+        limit_s = call.ended_s + ARRIVED_LATE_S + MEASUREMENT_SLACK_S
         for instance_id, run in runs.arrived(call):
             if run["arrived_s"] <= limit_s:
                 continue
-            # A process that stands still has taken it in time, and reads it late.
+            # A frozen process may have received the request in time and read it late.
             process = ("process", records.server_of[instance_id])
             span_s = call.started_s, run["arrived_s"]
-            is_read = records.disruptions.is_calm(process, *span_s)
+            is_read = records.disruptions.is_stable(process, *span_s)
             if is_read and _is_in_touch(records, call.gateway, *span_s):
                 late_s = run["arrived_s"] - call.ended_s
                 text = f"{instance_id} got {call} {late_s:.2f} s after its end"
@@ -225,10 +229,10 @@
 
 
 def limit_exceeded(records, runs):
-    """Servers that got more than the rate that they named allows.
+    """Find servers that got more requests than their stated limit allows.
 
-    From 3 s after a server first named its limit, requests count of those gateways that
-    had passed on an answer with it half a second before they sent the request.
+    From 3 s after a server first stated its limit, a request counts if its gateway had
+    passed on an answer with the limit at least 0.5 s before it sent the request.
     """
     calls = {call.request_id: call for call in records.calls}
     broken = []
@@ -238,12 +242,14 @@
         if not named_s:
             continue
         from_s = min(named_s) + LIMIT_SETTLED_S
-        told_s = _told_of_limit(records, limit, calls)
+        informed_s = _informed_of_limit(records, limit, calls)
         arrived_s = sorted(
             run["arrived_s"]
             for run in of_server
             if from_s <= run["arrived_s"] <= limit.ended_s
-            and _obeys(records, calls.get(run["request_id"]), run, limit, told_s)
+            and _is_bound_by_limit(
+                records, calls.get(run["request_id"]), run, limit, informed_s
+            )
         )
         allowed = LIMIT_RATIO * limit.rate_per_s * LIMIT_WINDOW_S + LIMIT_COUNT
         for first_s in arrived_s:
@@ -260,53 +266,55 @@
     return broken
 
 
-def _told_of_limit(records, limit, calls):
-    """Return from when on each gateway has passed on an answer that names a limit.
+def _informed_of_limit(records, limit, calls):
+    """Return when each gateway first passed on an answer that states a limit.
 
-    It has when a caller has received it.  It counts as passed on, too, when the server
-    has sent it over a link that was not disturbed, unless the caller meant to leave.
+    An answer has been passed on when its caller has received it.  It also counts as
+    passed on when the server has sent it over an undisturbed link, unless the caller
+    disconnected on purpose.
     """
     server = ("server", records.server_of[limit.instance_id])
-    told_s = {}
+    informed_s = {}
     for run in records.runs[limit.instance_id]:
         call = calls.get(run["request_id"])
         named_s = run["limit_named_s"]
         if call is None or named_s is None:
             continue
         got_s = call.ended_s if call.is_served and run["answered"] else math.inf
-        passes_s = (named_s - LIMIT_TOLD_S, named_s + LIMIT_TOLD_S)
-        if not call.left and records.disruptions.is_untouched(server, *passes_s):
+        passes_s = (named_s - LIMIT_PROPAGATION_S, named_s + LIMIT_PROPAGATION_S)
+        if not call.left and records.disruptions.is_undisturbed(server, *passes_s):
             got_s = min(got_s, named_s)
-        told_s[call.gateway] = min(got_s, told_s.get(call.gateway, math.inf))
-    return told_s
+        informed_s[call.gateway] = min(got_s, informed_s.get(call.gateway, math.inf))
+    return informed_s
 
 
-def _obeys(records, call, run, limit, told_s):
-    """Return whether the gateway of a request must know of a limit and keep to it."""
-    if call is None or call.gateway not in told_s:
+def _is_bound_by_limit(records, call, run, limit, informed_s):
+    """Return whether the gateway of a request must know a limit and keep it."""
+    if call is None or call.gateway not in informed_s:
         return False
     sent_s = _earliest_sent_s(records, call, run, limit.instance_id)
-    known_s = told_s[call.gateway]
-    if sent_s < known_s + LIMIT_TOLD_S:
+    known_s = informed_s[call.gateway]
+    if sent_s < known_s + LIMIT_PROPAGATION_S:
         return False
     return _is_in_touch(records, call.gateway, known_s, run["arrived_s"])
 
 
 def _earliest_sent_s(records, call, run, instance_id):
-    """Return from when on a request that reached a server may have been sent.
+    """Return the earliest time at which a request may have been sent to a server.
 
-    What a disturbed link has held up may have been sent at any time since its start.
+    A request that a disturbed link has delayed may have been sent at any time since the
+    start of its call.
     """
     if call is None:
         return run["arrived_s"]
     server = ("server", records.server_of[instance_id])
     span_s = call.started_s, run["arrived_s"]
-    is_untouched = records.disruptions.is_untouched(server, *span_s)
-    return run["arrived_s"] if is_untouched else call.started_s
+    is_undisturbed = records.disruptions.is_undisturbed(server, *span_s)
+    return run["arrived_s"] if is_undisturbed else call.started_s
 
 
 def evacuated_domain_used(records, runs):
-    """Requests that reached a server of a domain long after its evacuation."""
+    """Find requests that reached a domain too late after its evacuation."""
     calls = {call.request_id: call for call in records.calls}
     broken = []
     for evacuation in records.evacuations:
@@ -316,7 +324,7 @@
             if records.domain_of[records.server_of[instance_id]] == evacuation.domain
             for run in of_server
             if run["request_id"] in calls
-            and _ignores(
+            and _violates_evacuation(
                 records, evacuation, calls[run["request_id"]], run, instance_id
             )
         ]
@@ -331,23 +339,24 @@
     return broken
 
 
-def _ignores(records, evacuation, call, run, instance_id):
-    """Return whether a gateway sent a request though it must know of an evacuation.
+def _violates_evacuation(records, evacuation, call, run, instance_id):
+    """Return whether a gateway that must know of an evacuation sent a request.
 
-    It must if it has been in touch with the store for as long as it may take to obey.
+    It must know if it has been in touch with the store for the time within which it has
+    to apply an evacuation.
     """
     arrived_s = run["arrived_s"]
-    limit_s = evacuation.confirmed_s + EVACUATED_S + MEASURING_S
+    limit_s = evacuation.confirmed_s + EVACUATED_S + MEASUREMENT_SLACK_S
     sent_s = _earliest_sent_s(records, call, run, instance_id)
     if run["is_misdirected"] or sent_s <= limit_s or arrived_s >= evacuation.ended_s:
         return False
-    # Such a check goes back by a stable window itself.
-    since_s = arrived_s - EVACUATED_S - MEASURING_S + STABLE_WINDOW_S
+    # `is_stable` itself also checks the stable window before the span.
+    since_s = arrived_s - EVACUATED_S - MEASUREMENT_SLACK_S + STABLE_WINDOW_S
     return _is_in_touch_with_store(records, call.gateway, since_s, arrived_s)
 
 
 def cold_exceeded(records, runs):
-    """Cold servers that got more requests in a second than the bound, from anyone."""
+    """Find cold servers that got more requests in a second than the bound allows."""
     calls = {call.request_id: call for call in records.calls}
     allowed = COLD_PER_S * COLD_OVER + COLD_SLACK
     broken = []
@@ -374,10 +383,11 @@
 
 
 def _is_known_cold(records, span, call, run):
-    """Return whether a request counts against the bound of a server that was cold.
+    """Return whether a request counts against the bound of a cold server.
 
-    All requests count at one that has just started: nobody had used it before.  One
-    that turns cold is known to be so a while after, by gateways in touch.
+    At a server that has just started all requests count, since no gateway used it
+    before.  A server that becomes cold later is known to be cold after
+    `COLD_KNOWN_S`, by gateways in touch with the store.
     """
     if not span.from_s <= run["arrived_s"] <= span.until_s:
         return False
@@ -394,52 +404,52 @@
 
 
 def backoff_ignored(records, runs):
-    """Servers that got requests of a gateway that they had requested back-off of."""
+    """Find servers that got requests of a gateway within a requested back-off."""
     gateways = {call.request_id: call.gateway for call in records.calls}
     broken = []
     for instance_id, of_server in records.runs.items():
         server = ("server", records.server_of[instance_id])
-        for asked in of_server:
-            gateway = gateways.get(asked["request_id"])
-            if gateway is None or not asked["backoff_asked_s"]:
+        for refusal in of_server:
+            gateway = gateways.get(refusal["request_id"])
+            if gateway is None or not refusal["backoff_asked_s"]:
                 continue
-            from_s = asked["refused_s"] + BACKOFF_SLACK_S
-            until_s = asked["refused_s"] + asked["backoff_asked_s"]
+            from_s = refusal["refused_s"] + BACKOFF_SLACK_S
+            until_s = refusal["refused_s"] + refusal["backoff_asked_s"]
             count = sum(
                 from_s < run["arrived_s"] < until_s
                 and not run["is_misdirected"]
                 and gateways.get(run["request_id"]) == gateway
                 for run in of_server
             )
-            is_link_calm = records.disruptions.is_calm(server, from_s, until_s)
-            in_touch = _is_in_touch(records, gateway, asked["refused_s"], until_s)
-            if count > BACKOFF_COUNT and is_link_calm and in_touch:
+            is_link_stable = records.disruptions.is_stable(server, from_s, until_s)
+            in_touch = _is_in_touch(records, gateway, refusal["refused_s"], until_s)
+            if count > BACKOFF_COUNT and is_link_stable and in_touch:
                 text = (
                     f"{instance_id} got {count} requests of {gateway} in a back-off of "
-                    f"{asked['backoff_asked_s']} s from {asked['refused_s']:.2f}"
+                    f"{refusal['backoff_asked_s']} s from {refusal['refused_s']:.2f}"
                 )
-                broken.append(Finding(text, asked["refused_s"], until_s))
+                broken.append(Finding(text, refusal["refused_s"], until_s))
     return broken
 
 
 def used_after_it_said_so(records, runs):
-    """Requests at a server long after their gateway passed on that it leaves."""
+    """Find requests at a server after their gateway passed on its departure."""
     calls = {call.request_id: call for call in records.calls}
     broken = []
     for instance_id, of_server in records.runs.items():
-        told_s = {}
+        informed_s = {}
         for run in of_server:
             call = calls.get(run["request_id"])
             if call is not None and run["said_leaving"] and call.is_served:
-                before_s = told_s.get(call.gateway, call.ended_s)
-                told_s[call.gateway] = min(before_s, call.ended_s)
+                before_s = informed_s.get(call.gateway, call.ended_s)
+                informed_s[call.gateway] = min(before_s, call.ended_s)
         for run in of_server:
             call = calls.get(run["request_id"])
-            if call is None or run["is_misdirected"] or call.gateway not in told_s:
+            if call is None or run["is_misdirected"] or call.gateway not in informed_s:
                 continue
-            since_s = told_s[call.gateway]
+            since_s = informed_s[call.gateway]
             process = ("process", call.gateway)
-            is_same = records.disruptions.is_untouched(
+            is_same = records.disruptions.is_undisturbed(
                 process, since_s, run["arrived_s"]
             )
             if is_same and call.started_s > since_s + LEAVING_S:
@@ -450,28 +460,29 @@
 
 
 def not_kept_off(records, runs):
-    """Requests under which three servers have ended, and that go on to reach others.
+    """Find requests that crashed three servers and are still sent to others.
 
-    By gateways that have had a stable window to hear of it.  Where they share a part of
-    their prompts only, more than three after five ends.
+    Only attempts at gateways count that had a stable window to learn of the crashes.
+    For requests that only share a part of their prompts, more than three attempts after
+    five crashes are a violation.
     """
-    tries = {call.request_id: call for call in records.calls if call.ending_body}
+    attempts = {call.request_id: call for call in records.calls if call.crashing_body}
     arrivals = collections.defaultdict(list)
-    for end in records.server_ends:
-        call = tries[end.request_id]
-        arrivals[call.kind, call.ending_body].append((end.arrived_s, call, True))
+    for end in records.server_crashes:
+        call = attempts[end.request_id]
+        arrivals[call.kind, call.crashing_body].append((end.arrived_s, call, True))
     for of_server in records.runs.values():
         for run in of_server:
-            call = tries.get(run["request_id"])
+            call = attempts.get(run["request_id"])
             if call is not None:
-                key = call.kind, call.ending_body
+                key = call.kind, call.crashing_body
                 arrivals[key].append((run["arrived_s"], call, False))
     broken = []
     for (kind, body), of_request in arrivals.items():
         ends_s = sorted(at_s for at_s, _, has_ended in of_request if has_ended)
-        ends_limit, late_limit = ENDED_SERVERS_LIMIT, 0
-        if of_request[0][1].has_ending_part:
-            ends_limit, late_limit = ENDED_UNDER_PART_LIMIT, LATE_WITH_PART_LIMIT
+        ends_limit, late_limit = CRASHED_SERVERS_LIMIT, 0
+        if of_request[0][1].has_crashing_part:
+            ends_limit, late_limit = CRASHES_UNDER_PART_LIMIT, LATE_WITH_PART_LIMIT
         if len(ends_s) < ends_limit:
             continue
         shown_s = ends_s[ends_limit - 1]
@@ -488,43 +499,43 @@
 
 
 def refused_for_another(records, runs):
-    """Requests that end no server, and that are refused as if they did."""
+    """Find harmless requests that are refused as if they crashed servers."""
     return [
         _of_call("refused as if it ended servers", call)
         for call in records.calls
-        if not call.ending_body and b"ends_targets" in call.answer.body
+        if not call.crashing_body and b"ends_targets" in call.answer.body
     ]
 
 
 def not_recovered(records, recovered_s):
-    """Whether most requests are served once everything is back.
+    """Find whether too few requests are served after recovery.
 
-    Refusals while a server is cold are not counted; once none is cold, nine tenths of
-    all requests must be served.
+    While a server is cold, refusals are not counted; once no server is cold, 90% of all
+    requests must be served.
 
     Parameters
     ----------
     records : Records
-        The run.
+        Records of the run.
     recovered_s : float
-        From when on requests count, monotonic seconds.
+        Time from which on requests count, monotonic seconds.
     """
     calls = [
         call
         for call in records.calls
-        if call.started_s >= recovered_s and not call.left and not call.ending_body
+        if call.started_s >= recovered_s and not call.left and not call.crashing_body
     ]
     calls = [call for call in calls if not _ended_by_pause(records, call)]
     warm_s = max(recovered_s, records.judged_from_s)
     warm = [call for call in calls if call.started_s >= warm_s]
     allowed = [call for call in calls if not _is_refused_while_cold(records, call)]
-    # Where no server was cold, both are the same requests.
+    # Without cold servers both lists are the same.
     return _too_few_served(warm, warm_s) or _too_few_served(allowed, recovered_s)
 
 
 def _too_few_served(calls, from_s):
     served = sum(call.is_served for call in calls)
-    if calls and served >= SERVED_AT_THE_END * len(calls):
+    if calls and served >= LEAST_SERVED_SHARE * len(calls):
         return []
     first = next((str(call) for call in calls if not call.is_served), "none was sent")
     text = f"served {served} of {len(calls)} at the end; {first}"
@@ -532,7 +543,7 @@
 
 
 def _is_refused_while_cold(records, call):
-    """Return whether a request was refused as a server was cold."""
+    """Return whether a request was refused while a server was cold."""
     is_cold = any(
         span.from_s <= call.started_s < span.until_s for span in records.cold_spans
     )
@@ -563,7 +574,7 @@
 
 
 def broken_promises(records, recovered_s):
-    """Return a `Finding` for everything in a run that broke a promise."""
+    """Return a `Finding` for each violation of a promise in a run."""
     runs = Runs(records)
     broken = [Finding(text, -math.inf, math.inf) for text in records.troubles]
     for check in CHECKS:
@@ -572,16 +583,16 @@
 
 
 def _ended_by_pause(records, call):
-    """Return whether a request's time went by while the machine ran next to nothing.
+    """Return whether a request timed out because the machine was paused.
 
-    What ran after its route's time had gone by could not serve it any more.  A refusal
-    is an answer that the gateway chose to give, and excused by no pause.
+    Running time after the route's time-out can't serve the request any more and is not
+    counted.  A refusal is a decision of the gateway, which no pause excuses.
     """
     is_out_of_time = not call.answer.whole or call.answer.status == 504
     until_s = min(call.ended_s, call.started_s + ROUTE_TIMEOUT_S)
     running_s = records.pauses.running_s(call.started_s, until_s)
     is_paused = running_s < until_s - call.started_s
-    return is_out_of_time and is_paused and running_s < SERVING_S
+    return is_out_of_time and is_paused and running_s < LEAST_SERVING_TIME_S
 
 
 def _of_call(text, call):
@@ -592,26 +603,26 @@
     return Finding(f"{text}: {probe}", since_s, probe.ended_s)
 
 
-def _is_untouched(records, call):
-    """Return whether a gateway was not disturbed from a stable window before a call.
+def _is_gateway_stable(records, call):
+    """Return whether a gateway was undisturbed in a call and the window before it.
 
-    A planned stop counts as no disturbance: it must not cut off what was passed on.
+    A planned stop is not a disturbance here: it must not abort requests in progress.
     """
     subject = ("gateway", call.gateway)
-    return records.disruptions.is_calm(subject, call.started_s, call.ended_s)
+    return records.disruptions.is_stable(subject, call.started_s, call.ended_s)
 
 
 def _is_in_touch(records, gateway, from_s, until_s):
-    """Return whether a gateway was neither disturbed nor stopped."""
+    """Return whether a gateway was neither disturbed nor stopped in a span."""
     return all(
-        records.disruptions.is_calm((kind, gateway), from_s, until_s)
+        records.disruptions.is_stable((kind, gateway), from_s, until_s)
         for kind in ("gateway", "stop")
     )
 
 
 def _is_in_touch_with_store(records, gateway, since_s, until_s):
-    is_store_calm = records.disruptions.is_calm(STORE, since_s, until_s)
-    return is_store_calm and _is_in_touch(records, gateway, since_s, until_s)
+    is_store_stable = records.disruptions.is_stable(STORE, since_s, until_s)
+    return is_store_stable and _is_in_touch(records, gateway, since_s, until_s)
 
 
 def _newest_due(records, at_s):
@@ -622,6 +633,6 @@
 
 def _is_probe_in_touch(records, probe, publication):
     since_s = publication.confirmed_s
-    is_store_calm = records.disruptions.is_calm(STORE, since_s, probe.ended_s)
+    is_store_stable = records.disruptions.is_stable(STORE, since_s, probe.ended_s)
     in_touch = _is_in_touch(records, probe.gateway, since_s, probe.ended_s)
-    return is_store_calm and in_touch
+    return is_store_stable and in_touch
--- a/scripts/soak/_records.py
+++ b/scripts/soak/_records.py
@@ -1,4 +1,4 @@
-"""What was done to a system, and what its callers saw."""
+"""Records of a run: injected faults, and what callers and servers observed."""
 
 import itertools
 import math
@@ -6,15 +6,15 @@
 from scripts.soak._cpu_history import CpuHistory
 from scripts.soak._pauses import Pauses
 
-# How long a part must have been left alone before time bounds hold for it.
+# Undisturbed time of a part after which time bounds hold for it.
 STABLE_WINDOW_S = 4.0
 
 
 class Disruptions:
-    """When each part of the system was disturbed.
+    """Spans in which each part of the system was disturbed.
 
-    Parts are named by a kind and a name, as ``("gateway", "gateway-1")``; the store and
-    the links of a part count with it.
+    A part is identified by kind and name, as ``("gateway", "gateway-1")``.  A fault of
+    a part's links counts as a disturbance of the part.
     """
 
     __slots__ = ("_spans",)
@@ -23,24 +23,24 @@
         self._spans = {}
 
     def begin(self, subject, at_s):
-        """Note that a disturbance begins; return its span, for `end`."""
+        """Record the start of a disturbance; return its span, for `end`."""
         span = [at_s, None]
         self._spans.setdefault(subject, []).append(span)
         return span
 
     def end(self, span, at_s):
-        """Note that a disturbance has ended."""
+        """Record the end of a disturbance."""
         span[1] = at_s
 
-    def is_calm(self, subject, from_s, until_s):
-        """Return whether a part was left alone since a stable window before a span."""
+    def is_stable(self, subject, from_s, until_s):
+        """Return whether a part was undisturbed in a span and the window before it."""
         since_s = from_s - STABLE_WINDOW_S
         return not any(
             begun_s <= until_s and (ended_s is None or ended_s >= since_s)
             for begun_s, ended_s in self._spans.get(subject, ())
         )
 
-    def is_untouched(self, subject, from_s, until_s):
+    def is_undisturbed(self, subject, from_s, until_s):
         """Return whether no disturbance of a part overlaps a span."""
         return not any(
             begun_s <= until_s and (ended_s is None or ended_s >= from_s)
@@ -49,32 +49,33 @@
 
 
 class CallRecord:
-    """One request as its caller saw it.
+    """A request and its answer, as observed by the caller.
 
     Parameters
     ----------
     request_id, kind, path : str
-        The request; kinds are "safe", "unsafe" and "streaming".
+        Id, kind and path of the request; kinds are "safe", "unsafe" and "streaming".
     gateway : str
-        The gateway that it was sent to.
+        Name of the gateway that it was sent to.
     answer : scripts._caller_http.RawAnswer
-        What came.
+        Received answer, complete or not.
     started_s, ended_s : float
-        When the caller began and ended, monotonic seconds.
+        Start and end of the call, monotonic seconds.
     left : bool
-        Whether the caller meant to leave before the end.
-    ending_body : bytes
-        Body under which servers end, if it had one; all tries with it are one request.
-    has_ending_part : bool
-        Whether that stands for a part of prompts, and no two requests are alike.
+        Whether the caller disconnected on purpose before the end.
+    crashing_body : bytes
+        Body that crashes servers, if any; all attempts with it count as one request.
+    has_crashing_part : bool
+        Whether `crashing_body` identifies a part of the prompt that the attempts share,
+        while the requests themselves differ.
     """
 
     __slots__ = (
         "answer",
         "ended_s",
-        "ending_body",
+        "crashing_body",
         "gateway",
-        "has_ending_part",
+        "has_crashing_part",
         "kind",
         "left",
         "path",
@@ -92,8 +93,8 @@
         started_s,
         ended_s,
         left=False,
-        ending_body=b"",
-        has_ending_part=False,
+        crashing_body=b"",
+        has_crashing_part=False,
     ):
         self.request_id = request_id
         self.kind = kind
@@ -103,12 +104,12 @@
         self.started_s = started_s
         self.ended_s = ended_s
         self.left = left
-        self.ending_body = ending_body
-        self.has_ending_part = has_ending_part
+        self.crashing_body = crashing_body
+        self.has_crashing_part = has_crashing_part
 
     @property
     def is_served(self):
-        """Whether the whole answer came with success."""
+        """Whether a complete answer with status 200 was received."""
         return self.answer.whole and self.answer.status == 200
 
     def __str__(self):
@@ -123,14 +124,14 @@
 
 
 class Finding:
-    """A promise that was broken.
+    """Violation of a promise.
 
     Parameters
     ----------
     text : str
-        What was seen, for people.
+        Description for the report.
     from_s, until_s : float
-        The span in which the promise was broken, monotonic seconds.
+        Span of the violation, monotonic seconds.
     """
 
     __slots__ = ("from_s", "text", "until_s")
@@ -145,14 +146,14 @@
 
 
 class Publication:
-    """A version of the configuration that the store has confirmed.
+    """Configuration version that the store has confirmed.
 
     Parameters
     ----------
     version : int
-        The version; ``key_of(version)`` is valid in it alone.
+        Version number; ``key_of(version)`` is valid only in this version.
     confirmed_s : float
-        When the store's answer came.
+        When the store's answer arrived, monotonic seconds.
     """
 
     __slots__ = ("confirmed_s", "version")
@@ -163,20 +164,20 @@
 
 
 class Probe:
-    """A request that shows which configuration a gateway has in force.
+    """Request that shows which configuration version a gateway has in force.
 
     Parameters
     ----------
     gateway : str
-        The gateway.
+        Name of the gateway.
     boot : int
-        Number of its start.
+        Number of the gateway's start.
     version : int
-        The request bears the key of this version.
+        Version whose key the request carries.
     status : int or None
-        What came.
+        HTTP status; None if there was no answer.
     sent_s, ended_s : float
-        Monotonic seconds.
+        Start and end of the request, monotonic seconds.
     """
 
     __slots__ = ("boot", "ended_s", "gateway", "sent_s", "status", "version")
@@ -197,14 +198,14 @@
 
 
 class Leaving:
-    """A server that leaves.
+    """Planned departure of a server.
 
     Parameters
     ----------
     instance_id : str
-        The server.
+        Id of the server's instance.
     confirmed_s : float
-        When the store confirmed that it leaves.
+        When the store confirmed the departure, monotonic seconds.
     """
 
     __slots__ = ("confirmed_s", "instance_id")
@@ -214,15 +215,15 @@
         self.confirmed_s = confirmed_s
 
 
-class ServerEnd:
-    """A server that has ended under a request.
+class ServerCrash:
+    """Crash of a server under a request.
 
     Parameters
     ----------
     instance_id, request_id : str
-        The server, and the request.
+        Ids of the server's instance and of the request.
     arrived_s : float
-        When the request arrived there, monotonic seconds.
+        Arrival of the request at the server, monotonic seconds.
     """
 
     __slots__ = ("arrived_s", "instance_id", "request_id")
@@ -234,16 +235,16 @@
 
 
 class NamedLimit:
-    """A limit that the answers of a server named.
+    """Limit that the answers of a server stated.
 
     Parameters
     ----------
     instance_id : str
-        The server.
+        Id of the server's instance.
     rate_per_s : float
-        Requests a second that it took from all gateways.
+        Limit on the requests of all gateways together, requests per second.
     named_s, ended_s : float
-        From when to when, monotonic seconds.
+        Span in which the limit was stated, monotonic seconds.
     """
 
     __slots__ = ("ended_s", "instance_id", "named_s", "rate_per_s")
@@ -256,19 +257,20 @@
 
 
 class Evacuation:
-    """A failure domain that an operator has evacuated.
+    """Evacuation of a failure domain by an operator.
 
     Parameters
     ----------
     domain : str
-        The domain.
+        Name of the failure domain.
     confirmed_s : float
-        When the store confirmed it, monotonic seconds.
+        When the store confirmed the evacuation, monotonic seconds.
 
     Attributes
     ----------
     ended_s : float
-        From when on the domain may have been taken back; infinite until then.
+        When the operator started to withdraw the evacuation, monotonic seconds;
+        infinite before.
     """
 
     __slots__ = ("confirmed_s", "domain", "ended_s")
@@ -280,17 +282,17 @@
 
 
 class ColdSpan:
-    """A span in which a server was cold.
+    """Span in which a server was cold.
 
     Parameters
     ----------
     instance_id : str
-        The server.
+        Id of the server's instance.
     from_s, until_s : float
-        Monotonic seconds.
+        Start and end, monotonic seconds.
     is_start : bool
-        Whether it began with the server's start, before which no gateway could use it;
-        else the store had confirmed its entry with it at `from_s`.
+        Whether the span began with the start of the server, before which no gateway
+        could use it; otherwise, the store confirmed the cold entry at `from_s`.
     """
 
     __slots__ = ("from_s", "instance_id", "is_start", "until_s")
@@ -303,34 +305,35 @@
 
 
 class Records:
-    """Everything that a run has noted.
+    """All records of a run.
 
     Attributes
     ----------
-    calls, probes, publications, leavings, server_ends, limits : list
-        See the classes.
+    calls, probes, publications, leavings, server_crashes, limits : list
+        Instances of the classes above.
     evacuations, cold_spans : list
-        Likewise.
+        Instances of `Evacuation` and `ColdSpan`.
     domain_of : dict of str to str
-        Failure domain of each server, by its name.
+        Failure domain by server name.
     runs : dict of str to list
-        What each server start has run, by instance id, as JSON values.
+        Requests recorded by each server instance, by instance id, as JSON values.
     server_of : dict of str to str
-        Name of the server of each instance id.
+        Server name by instance id.
     faults : list of str
-        What was done, for people.
+        Descriptions of the injected faults, for the report.
     troubles : list of str
-        What went wrong with the processes themselves.
+        Defects of the processes themselves.
     disruptions : Disruptions
-        When each part was disturbed.
+        Spans in which each part was disturbed.
     pauses : scripts.soak._pauses.Pauses
-        When the machine stood still.
+        Spans in which the machine was paused.
     cpu_history : scripts.soak._cpu_history.CpuHistory
-        When gateways waited for a processor.
+        Waits of the processes for a processor.
     started_s : float
-        When the load began, monotonic seconds.
+        Start of the load, monotonic seconds.
     judged_from_s : float
-        When servers were back and no longer cold, monotonic seconds; 0 if none was.
+        When all servers had restarted and were no longer cold, monotonic seconds; 0
+        before the run has ended.
     """
 
     __slots__ = (
@@ -349,7 +352,7 @@
         "probes",
         "publications",
         "runs",
-        "server_ends",
+        "server_crashes",
         "server_of",
         "started_s",
         "troubles",
@@ -361,7 +364,7 @@
         self.probes = []
         self.publications = []
         self.leavings = []
-        self.server_ends = []
+        self.server_crashes = []
         self.limits = []
         self.evacuations = []
         self.cold_spans = []
@@ -377,5 +380,5 @@
         self.judged_from_s = 0.0
 
     def next_number(self):
-        """Return a number that no request has had."""
+        """Return a new serial number for a request."""
         return next(self._numbers)
--- a/scripts/soak/_runs.py
+++ b/scripts/soak/_runs.py
@@ -1,4 +1,4 @@
-"""What servers ran, by request."""
+"""Runs of requests on servers, by request id."""
 
 import collections
 
@@ -11,7 +11,7 @@
     Parameters
     ----------
     records : Records
-        The run.
+        Records of a soak run.
     """
 
     __slots__ = ("_by_id", "_records")
@@ -24,20 +24,20 @@
                 self._by_id[run["request_id"]].append((instance_id, run))
 
     def of(self, call):
-        """Return the pairs of instance id and run of a call that did run."""
+        """Return pairs of instance id and run for each execution of a call."""
         return [pair for pair in self._by_id[call.request_id] if pair[1]["ran"]]
 
     def arrived(self, call):
-        """Return the pairs of instance id and run of a call, also of one not run."""
+        """Return pairs of instance id and run for each arrival, executed or not."""
         return list(self._by_id[call.request_id])
 
-    def sound(self, call):
-        """Return those that their server answered whole while it was left alone."""
+    def answered_undisturbed(self, call):
+        """Return the executions that an undisturbed server answered completely."""
         return [
             (instance_id, run)
             for instance_id, run in self.of(call)
             if run["answered"]
-            and self._records.disruptions.is_calm(
+            and self._records.disruptions.is_stable(
                 ("server", self._records.server_of[instance_id]),
                 run["arrived_s"],
                 run["ended_s"] + STABLE_WINDOW_S,
--- a/scripts/soak/_system.py
+++ b/scripts/soak/_system.py
@@ -1,4 +1,4 @@
-"""The processes of a run: store, servers, gateways and the relays between them."""
+"""Processes of a run: store, servers, gateways and the relays between them."""
 
 import json
 import math
@@ -26,7 +26,7 @@
     Evacuation,
     Leaving,
     Publication,
-    ServerEnd,
+    ServerCrash,
 )
 
 LOOPBACK = "127.0.0.1"
@@ -35,20 +35,20 @@
 ACCOUNT, ACCOUNT_KEY = "inspectorate", "soak-key"
 ROUTE_TIMEOUT_S = 3.0
 GRACE_S = 3
-BEAT_S = 1.0
-# Servers that are silent for so long are dropped from the list.
-LAPSE_S = 3.0
+REPORT_INTERVAL_S = 1.0
+# Servers without a report for this time are dropped from the list.
+EXPIRY_S = 3.0
 CALL_WAIT_S = 1.0
 RETRY_S = 0.05
-# After so long a server that has ended by itself is there again.
-START_AGAIN_S = 1.0
-# How long a server that leaves goes on serving after the store has confirmed it.
-SERVE_ON_S = 3.0
+# Time from the crash of a server to its restart.
+RESTART_DELAY_S = 1.0
+# Time that a leaving server still serves after the store has confirmed its departure.
+DRAIN_S = 3.0
 EVACUATION_KEY = "evacuate/{}"
-# How long a server is cold after a start, and the requests a second that it takes then.
+# Time that a server is cold after a start, and the requests per second it accepts then.
 COLD_START_S = 4.0
 COLD_PER_S = 2
-# The platform's bounds for all gateways together, in any second.
+# Bounds of the platform for all gateways together, in any second.
 COLD_OVER = 1.5
 COLD_SLACK = 5
 COLD_BOUNDS = f"""[bounds]
@@ -59,12 +59,12 @@
 
 
 def key_of(version):
-    """Return the key that is valid in one version only."""
+    """Return the key that is valid only in one configuration version."""
     return f"key-{version}"
 
 
 def routes():
-    """Return the routes of every version."""
+    """Return the routes, which are the same in every configuration version."""
     times = {"timeout_ms": int(ROUTE_TIMEOUT_S * 1000)}
     return [
         route("/stream/", "streaming", resumable=True, **times),
@@ -74,7 +74,7 @@
 
 
 class GatewayNode:
-    """A gateway and its two relays."""
+    """A gateway, and its relays to callers and to the store."""
 
     __slots__ = (
         "boot",
@@ -96,7 +96,7 @@
         self.domain = DOMAINS[number % len(DOMAINS)]
         self.front, self.ready, control_port = ports
         self.control = (LOOPBACK, control_port)
-        # Where callers connect: the relay in front of it.
+        # Address of the relay that callers connect to.
         self.callers = None
         self.process = None
         self.relay = None
@@ -105,7 +105,7 @@
 
 
 class ServerNode:
-    """A server, its relay and its entry in the list."""
+    """A server, its relay and its entry in the target list."""
 
     __slots__ = (
         "cold_until_s",
@@ -128,7 +128,7 @@
         self.port, control_port = ports
         self.domain = DOMAINS[number % len(DOMAINS)]
         self.control = (LOOPBACK, control_port)
-        # Where the list says that it is: the relay in front of it.
+        # Address in the target list, which is that of the relay.
         self.relayed = None
         self.process = None
         self.relay = None
@@ -136,28 +136,28 @@
         self.instance_id = None
         self.state = "ready"
         self.cold_until_s = 0.0
-        # Whether it sends no reports at present.
+        # Whether the server sends no reports at present.
         self.is_down = True
-        # Held while one process is replaced by another at its port.
+        # Held while the server's process is replaced at the same port.
         self.lock = curio.Lock()
 
 
 class SoakSystem:
-    """A running system.
+    """System of processes under test.
 
     Parameters
     ----------
     processes : scripts._processes.Processes
-        Starts and ends them.
+        Starts and ends the processes.
     folder : pathlib.Path
-        For settings files.
+        Folder of the settings files.
     records : Records
-        Where everything is noted.
+        Records of the run.
     gateway_count, server_count : int
-        How many of each.
+        Number of gateways and servers.
     has_cold_servers : bool
         Whether servers that start during the load are cold, and the configuration and
-        the gateways' settings bound what they get.
+        the gateways' settings limit the requests to them.
     """
 
     __slots__ = (
@@ -166,7 +166,7 @@
         "_evacuation_lock",
         "_folder",
         "_has_cold_servers",
-        "_held",
+        "_reserved",
         "_is_loaded",
         "_processes",
         "_published",
@@ -188,19 +188,20 @@
         server_count,
         has_cold_servers=False,
     ):
-        # A gateway has three, a server two with the controls of their relays.
+        # A gateway has three ports and a server two, including their relays' control.
         numbers = free_ports(1 + 3 * gateway_count + 2 * server_count)
         ports = iter(numbers)
-        # Runs beside this one look for free ports at this address only, while gateways
-        # listen at others, and servers and relays some time later.
-        self._held = {number: _hold(number) for number in numbers}
+        # Concurrent runs search for free ports only at the loopback address, while
+        # gateways listen at other addresses, and servers and relays start to listen
+        # later.  Bound sockets reserve the ports until then.
+        self._reserved = {number: _reserve(number) for number in numbers}
         self._processes = processes
         self._folder = folder
         self._version = 0
         self._sequence = 0
         self._published = None
         self._dropped_ids = set()
-        # Whether each domain that was ever evacuated still is.
+        # Whether a domain is evacuated at present, for each domain evacuated so far.
         self._evacuated = {}
         self._evacuation_lock = curio.Lock()
         self._has_cold_servers = has_cold_servers
@@ -219,12 +220,12 @@
         self.store = None
 
     async def start(self):
-        """Start everything and wait until the gateways are ready."""
+        """Start all processes and wait until the gateways are ready."""
         store = self._start_module("store", "standins.platform_store")
         self.store = store.read_address()
         await self.publish()
         for server in self.servers:
-            # A server that has ended refuses connections, also to its relay.
+            # While a server is down, connections to its relay are refused as well.
             [server.relayed] = self._relay(
                 server, [(LOOPBACK, server.port)], ["--refuse"]
             )
@@ -263,7 +264,7 @@
         gateway.process = self._processes.start(gateway.name, command)
 
     def node_processes(self):
-        """Return all processes but the store, by names that tell starts apart."""
+        """Return all processes but the store, by names that differ at each start."""
         return {
             **{f"{one.name}, start {one.boot}": one.process for one in self.gateways},
             **{one.instance_id: one.process for one in self.servers},
@@ -274,19 +275,19 @@
         }
 
     def start_server(self, server):
-        """Start the process of a server, which gets a new id."""
+        """Start the process of a server, with a new instance id."""
         server.starts += 1
         server.instance_id = f"i-{server.name}-{server.starts}"
         server.state = "ready"
         self.records.server_of[server.instance_id] = server.name
-        self._release(server.port)
+        self._release_port(server.port)
         options = ["--port", str(server.port), "--steady"]
         options += ["--instance-id", server.instance_id]
         server.cold_until_s = 0.0
         if self._has_cold_servers and self._is_loaded:
             now_s = time.monotonic()
             server.cold_until_s = now_s + COLD_START_S
-            self._note_cold(server, now_s, is_start=True)
+            self._record_cold_span(server, now_s, is_start=True)
             options += ["--cold-until-s", str(server.cold_until_s)]
         server.process = self._start_module(
             server.name, "standins.platform_server", *options
@@ -294,12 +295,12 @@
         server.process.read_address()
         server.is_down = False
 
-    def _note_cold(self, server, from_s, is_start):
+    def _record_cold_span(self, server, from_s, is_start):
         span = ColdSpan(server.instance_id, from_s, server.cold_until_s, is_start)
         self.records.cold_spans.append(span)
 
     async def turn_cold(self, server, for_s):
-        """Let a server be cold for a while, and note when the store has its word."""
+        """Make a server cold for a while; record when the store confirms its entry."""
         instance_id = server.instance_id
         until_s = time.monotonic() + for_s
         server.cold_until_s = max(server.cold_until_s, until_s)
@@ -307,44 +308,44 @@
         while not await self.report(server):
             await curio.sleep(RETRY_S)
         if server.instance_id == instance_id:
-            self._note_cold(server, time.monotonic(), is_start=False)
+            self._record_cold_span(server, time.monotonic(), is_start=False)
 
     async def keep_servers_up(self):
-        """Start servers that have ended by themselves again, until cancelled."""
+        """Restart crashed servers until cancelled."""
         while True:
             await curio.sleep(RETRY_S)
             for server in self.servers:
                 has_ended = server.process is not None and not server.process.running()
                 if has_ended and not server.is_down:
                     server.is_down = True
-                    await curio.spawn(self._start_again, server, daemon=True)
+                    await curio.spawn(self._restart_crashed, server, daemon=True)
 
-    async def _start_again(self, server):
-        """Note which request a server has ended under, and start it after a pause."""
+    async def _restart_crashed(self, server):
+        """Record the request that crashed a server, and restart it after a pause."""
         async with server.lock:
             old_id = server.instance_id
-            self._note_end(server)
+            self._record_crash(server)
             subject = ("server", server.name)
             span = self.records.disruptions.begin(subject, time.monotonic())
-            await curio.sleep(START_AGAIN_S)
+            await curio.sleep(RESTART_DELAY_S)
             self.start_server(server)
             self.records.disruptions.end(span, time.monotonic())
-        await curio.sleep(LAPSE_S)
+        await curio.sleep(EXPIRY_S)
         await self.drop(old_id)
 
-    def _note_end(self, server):
+    def _record_crash(self, server):
         lines = server.process.log_path.read_text(errors="replace").splitlines()
-        told = [line for line in lines if line.startswith('{"ended_under"')]
-        if not told:
+        crash_lines = [line for line in lines if line.startswith('{"ended_under"')]
+        if not crash_lines:
             self.records.troubles.append(f"{server.name} ended by itself")
             return
-        end = json.loads(told[-1])
-        self.records.server_ends.append(
-            ServerEnd(server.instance_id, end["ended_under"], end["arrived_s"])
+        end = json.loads(crash_lines[-1])
+        self.records.server_crashes.append(
+            ServerCrash(server.instance_id, end["ended_under"], end["arrived_s"])
         )
 
     async def until_ready(self, gateway):
-        """Wait until a gateway says that it is ready."""
+        """Wait until a gateway reports that it is ready."""
         deadline_s = time.monotonic() + 10.0
         while not await self.is_ready(gateway):
             if time.monotonic() > deadline_s:
@@ -353,7 +354,7 @@
             await curio.sleep(RETRY_S)
 
     async def is_ready(self, gateway):
-        """Return whether a gateway answers that it is ready."""
+        """Return whether a gateway reports that it is ready."""
         connection = CallerConnection((gateway.ip, gateway.ready))
         path = "/siskinthread/ready"
         answer = await connection.call("GET", path, [], b"", 0.5)
@@ -361,7 +362,7 @@
         return answer.status == 200
 
     async def publish(self):
-        """Publish the next version, and keep at it until the store confirms it."""
+        """Publish the next version, with retries until the store confirms it."""
         self._version += 1
         version = self._version
         keys = [ACCOUNT_KEY, key_of(version)]
@@ -374,7 +375,7 @@
         self.records.publications.append(publication)
 
     async def report(self, server):
-        """Write a server's entry once; return whether the store took it."""
+        """Write a server's entry once; return whether the store confirmed it."""
         self._sequence += 1
         entry = listed(server.relayed, server.domain, server.state, self._sequence)
         cold_left_s = max(0.0, server.cold_until_s - time.monotonic())
@@ -382,20 +383,20 @@
         return await self._write_once(TARGETS_TOPIC, server.instance_id, entry)
 
     async def report_all(self):
-        """Write the entry of each server that is up."""
+        """Write the entries of all servers that are up."""
         async with curio.TaskGroup(wait=all) as group:
             for server in self.servers:
                 if not server.is_down:
                     await group.spawn(self.report, server)
 
     async def keep_reporting(self):
-        """Report until cancelled."""
+        """Write the servers' entries periodically until cancelled."""
         while True:
-            await curio.sleep(BEAT_S)
+            await curio.sleep(REPORT_INTERVAL_S)
             await self.report_all()
 
     async def announce_leaving(self, server):
-        """Let a server report that it leaves, and note the store's word."""
+        """Report that a server leaves; record when the store confirms it."""
         server.state = "draining"
         while not await self.report(server):
             await curio.sleep(RETRY_S)
@@ -403,12 +404,12 @@
         self.records.leavings.append(leaving)
 
     async def drop(self, instance_id):
-        """Take a server off the list."""
+        """Remove a server's entry from the target list."""
         self._dropped_ids.add(instance_id)
         await self._write(TARGETS_TOPIC, instance_id, None)
 
-    async def write_again(self):
-        """Write what the store may have lost, as operators and servers do."""
+    async def rewrite_entries(self):
+        """Rewrite all that a restored store may lack, as operators and servers do."""
         await self._write(CONFIGURATION_TOPIC, "config", self._published)
         for domain in list(self._evacuated):
             await self._write_evacuation(domain)
@@ -424,28 +425,28 @@
         self.records.evacuations.append(evacuation)
         return evacuation
 
-    async def take_back(self, evacuation):
-        """Let a domain that was evacuated serve again."""
-        # The store may have it from the first try on, also if its answer is lost.
+    async def withdraw_evacuation(self, evacuation):
+        """Withdraw the evacuation of a domain."""
+        # The first attempt may take effect although its answer is lost.
         evacuation.ended_s = time.monotonic()
         self._evacuated[evacuation.domain] = False
         await self._write_evacuation(evacuation.domain)
 
     async def _write_evacuation(self, domain):
         key = EVACUATION_KEY.format(domain)
-        # A write that overtook another would leave the store at the older state.
+        # With concurrent writes, the older state could reach the store last.
         async with self._evacuation_lock:
             value = {} if self._evacuated[domain] else None
             await self._write(CONFIGURATION_TOPIC, key, value)
 
-    async def note_runs(self, server):
-        """Note what a server has run so far."""
+    async def record_runs(self, server):
+        """Record the runs of a server so far."""
         if server.process is None or not server.process.running():
             return
         try:
             answer = await control((LOOPBACK, server.port), "GET", "/runs")
         except StartError:
-            # It is stopped at this moment; what it ran stays unknown if it is killed.
+            # The server is frozen; its runs stay unknown if it is killed.
             self.records.faults.append(f"runs of {server.instance_id} not read")
             return
         self.records.runs[server.instance_id] = answer["runs"]
@@ -474,12 +475,12 @@
         return answer.status == 200
 
     def release_ports(self):
-        """Let other runs have the ports of this one."""
-        for number in list(self._held):
-            self._release(number)
+        """Release the reserved ports for other runs."""
+        for number in list(self._reserved):
+            self._release_port(number)
 
-    def _release(self, number):
-        held = self._held.pop(number, None)
+    def _release_port(self, number):
+        held = self._reserved.pop(number, None)
         if held is not None:
             held.close()
 
@@ -488,8 +489,8 @@
         return self._processes.start(name, command, states_address=True)
 
     def _relay(self, node, addresses, options=()):
-        """Start the relays of a node; return where each of them listens."""
-        self._release(node.control[1])
+        """Start the relays of a node; return the address of each."""
+        self._release_port(node.control[1])
         command = [sys.executable, "-m", "scripts._fault_proxy"]
         command += ["--control-port", str(node.control[1]), *options]
         for host, port in addresses:
@@ -498,8 +499,8 @@
         return [node.relay.read_address() for _ in addresses]
 
 
-def _hold(number):
-    """Return a socket that keeps other runs from taking a port; it does not listen."""
+def _reserve(number):
+    """Return a bound socket that reserves a port; it does not listen."""
     held = socket.socket()
     try:
         held.bind((LOOPBACK, number))
@@ -510,5 +511,5 @@
 
 
 async def link(node, path, relay=0, **values):
-    """Set a fault of one of a node's relays."""
+    """Set a fault of a relay of a node."""
     return await control(node.control, "POST", path, {"relay": relay, **values})
--- a/scripts/soak/_timer.py
+++ b/scripts/soak/_timer.py
@@ -1,10 +1,10 @@
-"""A process that sleeps, and prints when its timer fired late.
+"""Process that sleeps and prints each late firing of its timer.
 
-Run beside a soak with ``python scripts/soak/_timer.py``.  Each line is JSON: when the
-timer was due and when it fired, monotonic seconds.  An argument is the shortest delay
-that is printed, seconds.  A process that nearly always sleeps
-is run soon after it wakes, also beside busy ones; a long delay shows that the whole
-machine stood still, or all that one user may run on it.
+It runs during a soak as ``python scripts/soak/_timer.py``.  Each line is JSON: when the
+timer was due and when it fired, monotonic seconds.  The optional argument is the
+shortest delay that is printed, seconds.  A process that nearly always sleeps is
+scheduled soon after it wakes, also when other processes are busy; a long delay thus
+shows that the whole machine was paused, or everything that the user may run on it.
 """
 
 import json
@@ -12,7 +12,7 @@
 import time
 
 TIMER_S = 0.02
-# Shorter delays are common on a busy machine and break no promise.
+# Shorter delays are common on a busy machine and violate no time bound.
 SHORTEST_PAUSE_S = 0.1
 
 
--- a/scripts/soak/tests/test_judged_period.py
+++ b/scripts/soak/tests/test_judged_period.py
@@ -1,4 +1,4 @@
-"""When the end of a run is judged."""
+"""The period at the end of a run in which recovery is judged."""
 
 from scripts.soak._judged_period import JUDGED_END_S, JudgedPeriod, LONGEST_COLD_S
 from scripts.soak._pauses import Pause, Pauses
@@ -8,7 +8,7 @@
 
 
 def servers(*cold_until_s):
-    """Return servers that are cold until some times, monotonic seconds."""
+    """Return servers that are cold until the given monotonic times."""
     nodes = [ServerNode(number, (1, 2)) for number in range(len(cold_until_s))]
     for node, until_s in zip(nodes, cold_until_s, strict=True):
         node.cold_until_s = until_s
@@ -24,7 +24,7 @@
 
 
 def test_end_is_judged_from_when_the_last_server_is_warm():
-    """All servers had ended after the faults, and each was cold for 4 s."""
+    """Guards against judging servers that crashed after the faults and are cold."""
     nodes = servers(RECOVERED_S + 2, RECOVERED_S + 3)
     period = JudgedPeriod(nodes, RECOVERED_S, Pauses())
     assert not period.has_ended(RECOVERED_S + 4)
@@ -37,7 +37,7 @@
 
 
 def test_servers_that_go_on_ending_are_judged_all_the_same():
-    """Guards against a run without end, and a defect that is never judged."""
+    """Guards against an endless run if a defect makes servers crash repeatedly."""
     nodes = servers(0.0)
     period = JudgedPeriod(nodes, RECOVERED_S, Pauses())
     latest_s = RECOVERED_S + LONGEST_COLD_S
@@ -47,7 +47,7 @@
 
 
 def test_pause_leaves_callers_the_whole_time():
-    """Symptom: the machine stands still, and only 15 requests are judged."""
+    """Guards against a pause of the machine that leaves only 15 requests to judge."""
     pauses = Pauses()
     period = JudgedPeriod(servers(0.0), RECOVERED_S, pauses)
     pauses.of_soak = [Pause(RECOVERED_S - 2, RECOVERED_S + 1)]
--- a/scripts/soak/tests/test_pauses.py
+++ b/scripts/soak/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""Pauses of the machine, as they are measured and told beside broken promises."""
+"""Pauses of the machine: their measurement, and the report with a violation."""
 
 import json
 import signal
@@ -20,12 +20,12 @@
 
 
 def test_process_that_stood_still_is_seen_by_the_timer_beside_it(tmp_path):
-    """Guards against a timer that loses a pause, or tells the wrong span of it."""
+    """Guards against a timer that misses a pause or reports its span wrongly."""
     pauses = Pauses()
     with Processes(tmp_path) as processes:
         timer = start_timer(processes, shortest_s=0.0)
         deadline_s = time.monotonic() + WAIT_S
-        # It prints each delay, so that the first line shows that it has started.
+        # With this limit it prints each delay, so the first line shows its start.
         while not timer.log_path.read_text() and time.monotonic() < deadline_s:
             time.sleep(SHORTEST_PAUSE_S)
         stopped_s = time.monotonic()
@@ -46,7 +46,7 @@
 
 
 def test_work_of_the_soak_itself_is_seen_by_its_own_timer_alone(tmp_path):
-    """Guards against taking a busy soak for a machine that stood still."""
+    """Guards against reporting a busy soak process as a pause of the machine."""
     pauses = Pauses()
 
     async def work():
@@ -62,7 +62,7 @@
 
 
 def test_line_that_was_cut_off_is_left_out(tmp_path):
-    """The timer is ended at any moment; what it was printing must not end the soak."""
+    """Guards against a soak that fails on a line that the killed timer left partial."""
     log = tmp_path / "timer.log"
     log.write_text(json.dumps([1.0, 2.0]) + "\n[3.0, ")
     pauses = Pauses()
@@ -71,7 +71,7 @@
 
 
 def test_pauses_that_overlap_a_span_are_told():
-    """Guards against telling pauses that have nothing to do with a broken promise."""
+    """Guards against reporting pauses outside the span of a violation."""
     pauses = Pauses()
     pauses.of_machine = [Pause(10.0, 11.0), Pause(20.0, 21.0)]
     pauses.of_soak = [Pause(10.2, 10.8)]
@@ -80,7 +80,7 @@
 
 
 def test_wait_for_a_processor_is_told_from_work(tmp_path):
-    """Guards against taking a process that had no processor for a slow one."""
+    """Guards against reporting a process without a processor as a slow process."""
     with Processes(tmp_path) as processes:
         busy = processes.start("busy", [sys.executable, "-c", BUSY])
         time.sleep(START_S)
@@ -91,12 +91,12 @@
         spent_s = time.monotonic() - began_s
         busy.kill()
     assert 0 < times.ran_s <= spent_s
-    # A process that never sleeps runs or waits; the kernel counts by the tick.
+    # A process that never sleeps either runs or waits; the kernel counts in ticks.
     assert abs(times.ran_s + times.waited_s - spent_s) < spent_s / 2
 
 
 def test_timer_prints_shorter_pauses_when_it_is_told_to(tmp_path):
-    """Guards against a run with short time bounds that misses what breaks them."""
+    """Guards against missing short pauses in a run with short time bounds."""
     pauses = Pauses()
     with Processes(tmp_path) as processes:
         timer = start_timer(processes, shortest_s=0.0)
@@ -108,7 +108,7 @@
 
 
 def test_wait_is_told_for_the_process_and_span_that_it_lies_in(tmp_path):
-    """Guards against waits of one process or start that are told for another."""
+    """Guards against waits that are reported for another process or start."""
     with Processes(tmp_path) as processes:
         started = {"first": processes.start("busy", [sys.executable, "-c", BUSY])}
         history = CpuHistory(lambda: started)
--- a/scripts/soak/tests/test_promises.py
+++ b/scripts/soak/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""Each promise of the soak is seen to be broken when it is."""
+"""Checks of the soak's promises: each detects its violation and only that."""
 
 import copy
 
@@ -16,17 +16,17 @@
     Probe,
     Publication,
     Records,
-    ServerEnd,
+    ServerCrash,
 )
 from standins.platform_service import expected_body
 
 GATEWAY = "gateway-0"
-# Long after the start, so that a stable window lies before it.
+# Late enough that a stable window lies before it.
 AT_S = 100.0
 
 
 def answer(status=200, body=None, whole=True, seal=True):
-    """Return what a caller saw."""
+    """Return an answer as a caller received it."""
     raw = RawAnswer()
     raw.status = status
     raw.whole = whole
@@ -36,7 +36,7 @@
 
 
 def call(kind="unsafe", seen=None, took_s=0.1, left=False, request_id="soak-1"):
-    """Return a request that came to an answer."""
+    """Return the record of a request with its answer."""
     path = f"/{'stream' if kind == 'streaming' else kind}/x"
     if seen is None:
         seen = answer(body=expected_body(request_id, path))
@@ -45,7 +45,7 @@
 
 
 def run(request_id="soak-1", arrived_s=AT_S, ended_s=AT_S + 0.1, **fields):
-    """Return what a server noted of a request."""
+    """Return a server's record of a request."""
     values = {
         "request_id": request_id,
         "path": "/unsafe/x",
@@ -63,8 +63,8 @@
     return values | fields
 
 
-def ending_calls(count, started_s):
-    """Return tries of one request under which servers end."""
+def crashing_calls(count, started_s):
+    """Return attempts of a request that crashes servers."""
     return [
         CallRecord(
             f"ending-{number}",
@@ -74,15 +74,15 @@
             answer(status=502),
             started_s + number,
             started_s + number + 0.1,
-            ending_body=b"ends",
+            crashing_body=b"ends",
         )
         for number in range(count)
     ]
 
 
-def ends_of(calls):
-    """Return the end of a server under each of some requests."""
-    return [ServerEnd("i-1", one.request_id, one.started_s) for one in calls]
+def crashes_of(calls):
+    """Return the crash of a server under each of the given requests."""
+    return [ServerCrash("i-1", one.request_id, one.started_s) for one in calls]
 
 
 def records(
@@ -101,7 +101,7 @@
     noted.evacuations += evacuations
     noted.cold_spans += cold_spans
     noted.limits += limits
-    noted.server_ends += ends
+    noted.server_crashes += ends
     noted.calls += calls
     noted.probes += probes
     noted.publications += publications
@@ -113,20 +113,20 @@
 
 
 def broken(check, noted):
-    """Return what a check finds."""
+    """Return the findings of a check."""
     return check(noted, _promises.Runs(noted))
 
 
 def test_run_in_order_breaks_nothing():
-    """A request that ran once and was answered whole."""
+    """A request that ran once and was answered completely violates nothing."""
     noted = records([call()], [run()])
     assert _promises.broken_promises(noted, AT_S) == []
 
 
-# Three tries end servers, one more does so later than it takes to tell all gateways.
-ENDING = ending_calls(8, AT_S)
-LATE_ENDS = ends_of([*ENDING[:3], ENDING[7]])
-# Twelve requests within 0.6 s, where eleven are allowed within 4 s.
+# Three attempts crash servers, and another after the time to inform all gateways.
+CRASHING = crashing_calls(8, AT_S)
+LATE_CRASHES = crashes_of([*CRASHING[:3], CRASHING[7]])
+# Twelve requests within 0.6 s; eleven are allowed within 4 s.
 CROWD = [
     CallRecord(f"soak-{n}", "safe", "/safe/x", GATEWAY, answer(), *2 * [AT_S + n / 20])
     for n in range(12)
@@ -141,8 +141,8 @@
 STARTED = ColdSpan("i-1", AT_S - 1, AT_S + 3, is_start=True)
 ASKED = run(CROWD[0].request_id, ran=False, backoff_asked_s=3.0, refused_s=AT_S)
 IN_THE_BACKOFF = [run(CROWD[n].request_id, AT_S + n) for n in (1, 2)]
-WORD = call(seen=answer(body=b""), request_id="soak-7")
-BEHIND_THE_WORD = CallRecord(
+LEAVING_ANSWER = call(seen=answer(body=b""), request_id="soak-7")
+AFTER_LEAVING_ANSWER = CallRecord(
     "soak-8", "safe", "/safe/x", GATEWAY, answer(), *2 * [AT_S + 2.5]
 )
 LOST = answer(status=None, whole=False)
@@ -187,10 +187,10 @@
         CROWD, [ASKED, *IN_THE_BACKOFF, run(CROWD[3].request_id, AT_S + 2.9)]
     ),
     "used_after_it_said_so": records(
-        [WORD, BEHIND_THE_WORD],
+        [LEAVING_ANSWER, AFTER_LEAVING_ANSWER],
         [run("soak-7", said_leaving=True), run("soak-8", AT_S + 2.5)],
     ),
-    "not_kept_off": records(ENDING, ends=LATE_ENDS),
+    "not_kept_off": records(CRASHING, ends=LATE_CRASHES),
     "refused_for_another": records(
         [call(seen=answer(status=503, body=b'{"reason": "ends_targets"}'))]
     ),
@@ -199,17 +199,17 @@
 
 @pytest.mark.parametrize("name", BROKEN)
 def test_broken_promise_is_seen(name):
-    """Every check finds what it is there for."""
+    """Every check finds the violation that it looks for."""
     assert len(broken(getattr(_promises, name), BROKEN[name])) == 1
 
 
 def test_every_check_has_a_case():
-    """No check stands untested."""
+    """Guards against a check without a test."""
     assert {check.__name__ for check in _promises.CHECKS} == set(BROKEN)
 
 
 def test_old_key_is_seen_too():
-    """A revoked key that passes later than it may."""
+    """A revoked key that is accepted after the time bound is a violation."""
     noted = records(
         probes=[Probe(GATEWAY, 1, 1, 200, AT_S + 3, AT_S + 3.1)],
         publications=[Publication(1, AT_S - 50), Publication(2, AT_S)],
@@ -219,7 +219,7 @@
 
 @pytest.mark.parametrize("name", ["answer_lost", "held_too_long", "configuration_late"])
 def test_time_bounds_hold_for_undisturbed_gateways(name):
-    """A gateway that was stopped a moment ago is not held to them."""
+    """Time bounds don't apply to a gateway that was disturbed just before."""
     noted = BROKEN[name]
     span = noted.disruptions.begin(("gateway", GATEWAY), AT_S - 1)
     try:
@@ -229,33 +229,33 @@
 
 
 def test_tries_soon_after_the_third_end_may_arrive():
-    """They are under way, or come to gateways that have not heard of it yet."""
-    noted = records(ENDING, ends=ends_of(ENDING[:7]))
+    """They are in flight, or at gateways that have not been informed yet."""
+    noted = records(CRASHING, ends=crashes_of(CRASHING[:7]))
     assert broken(_promises.not_kept_off, noted) == []
 
 
 def test_planned_stop_excuses_no_lost_answer():
-    """Symptom: a request is cut off by an upgrade."""
+    """Guards against an upgrade that aborts requests in progress."""
     noted = records([call(seen=LOST)], [run()])
     noted.disruptions.begin(("stop", GATEWAY), AT_S - 1)
     assert len(broken(_promises.answer_lost, noted)) == 1
 
 
 def test_refusals_at_the_end_are_no_recovery():
-    """Symptom: all is back, and callers are still refused."""
+    """Guards against gateways that still refuse callers after all faults have ended."""
     noted = records([call(seen=REFUSED)])
     assert len(_promises.not_recovered(noted, AT_S - 1)) == 1
     assert len(_promises.not_recovered(noted, AT_S + 1)) == 1
 
 
-def limited(naming=NAMING, told=TOLD, crowd=CROWD):
-    """Return a run with a limit: who was told of it, and what reached its server."""
+def limited(naming=NAMING, informing=TOLD, crowd=CROWD):
+    """Return records with a limit, a call that passed it on, and later arrivals."""
     arrivals = [run(one.request_id, one.started_s) for one in crowd]
-    return records([told, *crowd], [naming, *arrivals], limits=[LIMIT])
+    return records([informing, *crowd], [naming, *arrivals], limits=[LIMIT])
 
 
 def other_call(request_id, started_s, ended_s, gateway=GATEWAY, seen=None, left=False):
-    """Return a request at any gateway."""
+    """Return the record of a request at any gateway."""
     seen = seen or answer()
     return CallRecord(
         request_id, "safe", "/safe/x", gateway, seen, started_s, ended_s, left
@@ -263,7 +263,7 @@
 
 
 def cold_end(refused_s, is_cold=True, status=503):
-    """Return a run whose server is cold until `AT_S`, and that refuses at a time."""
+    """Return records of a server that is cold until `AT_S`, with refusals at a time."""
     refused = [
         other_call(f"soak-{n}", refused_s, refused_s + 0.1, seen=answer(status))
         for n in range(2)
@@ -285,12 +285,15 @@
     ],
 )
 def test_refusals_by_cold_servers_are_no_missing_recovery(noted, count):
-    """All servers were cold as the end was judged; other failures still count."""
+    """Refusals while servers are cold don't count; other failures still count."""
     assert len(_promises.not_recovered(noted, AT_S - 2)) == count
 
 
 def test_end_is_judged_once_servers_are_warm():
-    """Guards against requests of that end that others outnumber, or that none sent."""
+    """Guards against failures in the warm period that earlier successes outnumber.
+
+    A warm period without any request is a violation as well.
+    """
     noted = cold_end(AT_S - 1)
     noted.calls += [
         other_call(f"soak-{n}", AT_S - 1, AT_S - 0.9) for n in range(20, 60)
@@ -304,7 +307,7 @@
 
 
 def paused(noted, began_s, length_s, of_machine=True, of_soak=True):
-    """Return a copy of a run in which one timer or both stood still."""
+    """Return a copy of records in which one or both timers were paused."""
     noted = copy.deepcopy(noted)
     pause = Pause(began_s, began_s + length_s)
     noted.pauses.of_machine = [pause] if of_machine else []
@@ -313,7 +316,7 @@
 
 
 def test_pause_of_the_machine_is_taken_off_a_wait_and_no_more():
-    """Guards against a pause that excuses more than its own length, or elsewhere."""
+    """Guards against a pause that excuses more than its overlap with the wait."""
     noted, check = BROKEN["held_too_long"], _promises.held_too_long
     assert broken(check, paused(noted, AT_S + 1, 0.35)) == []
     assert len(broken(check, paused(noted, AT_S + 1, 0.25))) == 1
@@ -322,14 +325,14 @@
 
 
 def test_pause_that_one_timer_alone_has_seen_excuses_nothing():
-    """Guards against taking one process that was held up for the whole machine."""
+    """Guards against treating the delay of one process as a pause of the machine."""
     for timers in ({"of_machine": False}, {"of_soak": False}):
         alone = paused(BROKEN["held_too_long"], AT_S + 1, 1.0, **timers)
         assert len(broken(_promises.held_too_long, alone)) == 1
 
 
 def test_pause_excuses_no_late_arrival():
-    """No trace has shown that a pause of the machine brings requests late."""
+    """A pause of the machine is not known to delay requests, so it excuses none."""
     noted = paused(BROKEN["arrived_after_the_end"], AT_S + 0.1, 4.9)
     assert len(broken(_promises.arrived_after_the_end, noted)) == 1
 
@@ -347,7 +350,7 @@
     ],
 )
 def test_pause_excuses_at_the_end_only_requests_that_had_no_time(seen, length_s, count):
-    """Symptom: the machine stands still as the recovery is judged."""
+    """A pause while recovery is judged excuses time-outs only, and no refusals."""
     served = [call(request_id=f"soak-{number}") for number in range(2, 8)]
     noted = records([call(seen=seen, took_s=3.2), *served])
     assert len(_promises.not_recovered(noted, AT_S - 1)) == 1
@@ -357,7 +360,10 @@
 
 @pytest.mark.parametrize(("length_s", "count"), [(2.95, 0), (2.4, 1)])
 def test_what_ran_after_a_routes_time_does_not_count_as_time_to_serve(length_s, count):
-    """Symptom: a stream is cut off in a pause, and its caller sees it 0.55 s later."""
+    """A stream is aborted in a pause, and its caller notices it 0.55 s later.
+
+    Guards against counting these 0.55 s as time in which it could be served.
+    """
     served = [call(request_id=f"soak-{number}") for number in range(2, 8)]
     noted = records([call(seen=LOST, took_s=3.7), *served])
     noted = paused(noted, AT_S + 0.1, length_s)
@@ -365,13 +371,13 @@
 
 
 def test_end_at_which_the_machine_stood_still_shows_no_recovery():
-    """Guards against a run that is taken as good since nothing was left to judge."""
+    """Guards against a pass of a run in which no request is left to judge."""
     noted = paused(records([call(seen=LOST, took_s=3.2)]), AT_S + 0.1, 3.0)
     assert len(_promises.not_recovered(noted, AT_S - 1)) == 1
 
 
 def test_limit_holds_from_three_seconds_after_it_was_first_named():
-    """Guards against counting what comes before that, and a frozen gateway's."""
+    """Guards against counting earlier requests and those of a disturbed gateway."""
     late = run("soak-90", NAMED_S, NAMED_S + 0.2, limit_named_s=NAMED_S + 0.2)
     assert broken(_promises.limit_exceeded, limited(late)) == []
     noted = limited()
@@ -381,34 +387,34 @@
 
 
 def test_limit_that_no_answer_named_binds_nobody():
-    """Guards against a limit that counts from when the fault began."""
+    """Guards against a limit that binds from the fault's start without an answer."""
     silent = NAMING | {"limit_named_s": None}
     assert broken(_promises.limit_exceeded, limited(silent)) == []
 
 
 def test_limit_binds_no_gateway_that_has_not_passed_it_on():
-    """Guards against counting requests of gateways that can't know of a limit."""
-    told = other_call("soak-90", NAMED_S - 0.1, NAMED_S + 0.1, "gateway-1")
-    assert broken(_promises.limit_exceeded, limited(told=told)) == []
+    """Guards against counting requests of gateways that can't know the limit."""
+    informing = other_call("soak-90", NAMED_S - 0.1, NAMED_S + 0.1, "gateway-1")
+    assert broken(_promises.limit_exceeded, limited(informing=informing)) == []
 
 
 @pytest.mark.parametrize(("told_before_s", "count"), [(0.45, 0), (0.55, 1)])
 def test_limit_binds_a_gateway_half_a_second_after_it_passed_it_on(
     told_before_s, count
 ):
-    """Another gateway was told first; from then on the 3 s are counted."""
+    """Another gateway was informed first, which starts the 3 s."""
     first = other_call("soak-90", NAMED_S - 0.1, NAMED_S + 0.1, "gateway-1")
-    told_s = AT_S - told_before_s
-    told = other_call("soak-91", told_s - 0.1, told_s + 0.1)
-    noted = limited(told=first)
-    noted.calls.append(told)
-    naming = run("soak-91", told_s - 0.1, told_s, limit_named_s=told_s)
+    informed_s = AT_S - told_before_s
+    informing = other_call("soak-91", informed_s - 0.1, informed_s + 0.1)
+    noted = limited(informing=first)
+    noted.calls.append(informing)
+    naming = run("soak-91", informed_s - 0.1, informed_s, limit_named_s=informed_s)
     noted.runs["i-1"].append(naming)
     assert len(broken(_promises.limit_exceeded, noted)) == count
 
 
 def test_answer_that_was_cut_off_tells_nobody_of_a_limit():
-    """A refusal on a cut link, with its caller served elsewhere; counted when sound."""
+    """A refusal on a cut link informs no gateway; on a sound link it does."""
     refusal = NAMING | {"answered": False, "ran": False}
     noted = limited(refusal)
     assert len(broken(_promises.limit_exceeded, noted)) == 1
@@ -417,13 +423,13 @@
 
 
 def test_caller_that_left_shows_no_answer_passed_on():
-    """Its gateway closes the connection and may never read the answer."""
+    """The gateway of a disconnected caller may close its connection unread."""
     left = other_call("soak-90", NAMED_S - 0.1, NAMED_S, seen=LOST, left=True)
-    assert broken(_promises.limit_exceeded, limited(told=left)) == []
+    assert broken(_promises.limit_exceeded, limited(informing=left)) == []
 
 
 def test_answer_that_a_caller_received_tells_of_a_limit_on_any_link():
-    """Guards against a disturbed link that excuses what came through all the same."""
+    """Guards against a disturbed link that excuses an answer that was received."""
     noted = limited()
     span = noted.disruptions.begin(("server", "server-0"), NAMED_S)
     noted.disruptions.end(span, NAMED_S + 0.2)
@@ -431,12 +437,12 @@
 
 
 def test_requests_that_a_cut_link_held_up_were_sent_before_the_limit_was_known():
-    """Symptom: the end of a cut brings what had been sent before it."""
+    """The end of a cut delivers requests that had been sent before the limit."""
     sent_s = NAMED_S + 0.3
     crowd = [other_call(one.request_id, sent_s, AT_S + 1) for one in CROWD]
     arrivals = [run(one.request_id, AT_S) for one in crowd]
     noted = records([TOLD, *crowd], [NAMING, *arrivals], limits=[LIMIT])
-    # On a sound link they would be retries that the gateway chose when it knew.
+    # On a sound link these are retries, which the gateway sent knowing the limit.
     assert len(broken(_promises.limit_exceeded, noted)) == 1
     span = noted.disruptions.begin(("server", "server-0"), NAMED_S + 1)
     noted.disruptions.end(span, AT_S)
@@ -457,7 +463,7 @@
     ],
 )
 def test_request_that_an_evacuation_allows_breaks_nothing(evacuation, fields):
-    """Elsewhere, soon after it, taken back, declined with 421, or a probe's."""
+    """In another domain, soon after it, withdrawn, answered 421, or a probe."""
     noted = records([call()], [run(**fields)], evacuations=[evacuation])
     assert broken(_promises.evacuated_domain_used, noted) == []
 
@@ -475,7 +481,7 @@
 def test_evacuation_binds_gateways_that_had_the_time_to_hear_of_it(
     subject, until_s, count
 ):
-    """A disturbance excuses a gateway for as long as it may take to obey, no longer."""
+    """A disturbance excuses a gateway only within the bound of an evacuation."""
     noted = copy.deepcopy(BROKEN["evacuated_domain_used"])
     noted.evacuations = [Evacuation("a", AT_S - 30)]
     noted.disruptions.end(noted.disruptions.begin(subject, AT_S - 20), until_s)
@@ -484,7 +490,7 @@
 
 @pytest.mark.parametrize(("started_s", "count"), [(AT_S - 2, 0), (AT_S - 0.1, 1)])
 def test_link_that_was_cut_brings_what_was_sent_before_the_evacuation(started_s, count):
-    """Guards against holding a gateway to what it sent before it had to obey."""
+    """Guards against blaming a gateway for requests sent before the time bound."""
     noted = records(
         [other_call("soak-1", started_s, AT_S + 1)],
         [run()],
@@ -495,7 +501,7 @@
 
 
 def cold_run(count=12, gap_s=0.05, span=STARTED, held_up_s=0.0, **fields):
-    """Return a run in which requests reach a cold server one after the other."""
+    """Return records in which requests reach a cold server at regular intervals."""
     times_s = [AT_S + number * gap_s for number in range(count)]
     calls = [
         other_call(f"soak-{number}", at_s - held_up_s, at_s + 0.1)
@@ -521,7 +527,7 @@
     ],
 )
 def test_cold_server_gets_at_most_the_bound_in_any_second(noted, count):
-    """8 in a second are allowed; what it declines counts, but for 421."""
+    """8 requests in a second are allowed; declined requests count, except with 421."""
     assert len(broken(_promises.cold_exceeded, noted)) == count
 
 
@@ -532,7 +538,7 @@
 def test_server_that_turns_cold_is_known_to_be_a_while_later(
     cold_for_s, is_start, count
 ):
-    """One that has started is bound at once, by all gateways, also disturbed ones."""
+    """The bound of a server that has just started binds all gateways at once."""
     noted = cold_run(span=ColdSpan("i-1", AT_S - cold_for_s, AT_S + 3, is_start))
     assert len(broken(_promises.cold_exceeded, noted)) == count
     noted.disruptions.begin(("gateway", GATEWAY), AT_S - 0.1)
@@ -540,7 +546,7 @@
 
 
 def test_requests_that_a_link_held_up_were_not_sent_in_the_second_of_their_arrival():
-    """Symptom: the end of a cut brings a cold server what was sent over seconds."""
+    """The end of a cut delivers at once requests that were sent over seconds."""
     noted = cold_run(held_up_s=1.2)
     assert len(broken(_promises.cold_exceeded, noted)) == 1
     noted.disruptions.begin(("server", "server-0"), AT_S - 1)
@@ -548,7 +554,7 @@
 
 
 def test_frozen_server_reads_late_what_came_in_time():
-    """A link that was cut excuses no late arrival, a process that stood still does."""
+    """A cut link excuses no late arrival; a frozen process does."""
     noted = copy.deepcopy(BROKEN["arrived_after_the_end"])
     noted.disruptions.begin(("server", "server-0"), AT_S)
     assert len(broken(_promises.arrived_after_the_end, noted)) == 1
@@ -557,7 +563,7 @@
 
 
 def test_two_requests_in_a_rest_are_allowed():
-    """What was under way when the answer came may still arrive."""
+    """Requests in flight when the answer arrives may still reach the server."""
     noted = records(
         CROWD, [ASKED, *IN_THE_BACKOFF, run(CROWD[3].request_id, AT_S + 0.4)]
     )
@@ -565,7 +571,7 @@
 
 
 def test_only_a_restart_or_a_freeze_excuses_requests_after_the_leaving_was_said():
-    """A gateway whose links were disturbed has been told all the same."""
+    """A disturbed link excuses nothing: the gateway has passed on the answer."""
     noted = copy.deepcopy(BROKEN["used_after_it_said_so"])
     noted.disruptions.begin(("gateway", GATEWAY), AT_S + 1)
     assert len(broken(_promises.used_after_it_said_so, noted)) == 1
--- a/scripts/soak/tests/test_run.py
+++ b/scripts/soak/tests/test_run.py
@@ -11,7 +11,7 @@
 
 
 def test_short_seeded_run_keeps_every_promise():
-    """Two gateways and two servers go through a few faults."""
+    """Two gateways and two servers run through a few faults without a violation."""
     command = [sys.executable, "-m", "scripts.soak", "--seed", "3"]
     command += ["--seconds", SECONDS, "--gateways", "2", "--servers", "2"]
     done = subprocess.run(
