--- a/siskinthread/platform/tests/fleet.py
+++ b/siskinthread/platform/tests/fleet.py
@@ -61,7 +61,7 @@
 async def serve_or_end(server, request, client):
     """Serve requests, but end the server under the first account's poison."""
     if request.body == POISON and request.headers["x-tenant"] == TENANTS[0]["name"]:
-        return await faults.end_under_request(server, request, client)
+        return await faults.crash_during_request(server, request, client)
     if STREAM_MARK in request.line:
         return await faults.stream(1, 5, gap_s=0.01)(server, request, client)
     return await faults.answer_whole(server, request, client)
--- a/siskinthread/platform/tests/test_answers_without_length.py
+++ b/siskinthread/platform/tests/test_answers_without_length.py
@@ -48,7 +48,7 @@
         ),
         pytest.param(
             STREAM_PATH,
-            faults.answer_unframed(TWO_EVENTS, STREAM_TYPE, ends_server=True),
+            faults.answer_unframed(TWO_EVENTS, STREAM_TYPE, crashes_server=True),
             200,
             EVENTS,
             2,
@@ -59,7 +59,7 @@
         ),
         pytest.param(
             SAFE_PATH,
-            faults.answer_unframed(b"do", ends_server=True),
+            faults.answer_unframed(b"do", crashes_server=True),
             200,
             b"done\n",
             2,
@@ -67,7 +67,7 @@
         ),
         pytest.param(
             ONCE_PATH,
-            faults.answer_unframed(b"do", ends_server=True),
+            faults.answer_unframed(b"do", crashes_server=True),
             502,
             b"The answer was lost.",
             1,
--- a/siskinthread/platform/tests/test_cold_targets.py
+++ b/siskinthread/platform/tests/test_cold_targets.py
@@ -63,7 +63,7 @@
         await fleet.store.put("keyed.servers", server.instance_id, None)
         server.instance_id += "-anew"
         service = ColdService()
-        server.serve_by(service)
+        server.set_default_behaviour(service)
         services.append(service)
         reporting = report(fleet, server, service.warm_at_s)
         await curio.spawn(reporting, daemon=True)
@@ -133,7 +133,7 @@
         loading = await curio.spawn(load.run, fleet.entries, COLD_S)
         await curio.sleep(1.0)
         server = fleet.servers[0]
-        server.serve_by(service := ColdService())
+        server.set_default_behaviour(service := ColdService())
         reporting = report(fleet, server, service.warm_at_s)
         await curio.spawn(reporting, daemon=True)
         await loading.join()
--- a/siskinthread/platform/tests/test_crashing_parts.py
+++ b/siskinthread/platform/tests/test_crashing_parts.py
@@ -51,7 +51,7 @@
         # crashing part.
         self.sound = []
         for server in fleet.servers:
-            server.serve_by(self._serve)
+            server.set_default_behaviour(self._serve)
 
     async def _serve(self, server, request, client):
         if CRASHING in request.headers.get("x-prompt-prefix", ""):
@@ -86,18 +86,18 @@
     ("crashing_parts", "end"),
     [
         pytest.param(
-            lambda number: (FIRST, CRASHING), faults.end_under_request, id="middle"
+            lambda number: (FIRST, CRASHING), faults.crash_during_request, id="middle"
         ),
         pytest.param(
             lambda number: (CRASHING, SUBJECTS[number % 4]),
             faults.answer_unframed(
-                b"", STREAM_TYPE, "Transfer-Encoding: chunked", ends_server=True
+                b"", STREAM_TYPE, "Transfer-Encoding: chunked", crashes_server=True
             ),
             id="front",
         ),
         pytest.param(
             lambda number: (*sound_parts(number), CRASHING),
-            faults.answer_unframed(b"", STREAM_TYPE, ends_server=True),
+            faults.answer_unframed(b"", STREAM_TYPE, crashes_server=True),
             id="third-unframed",
         ),
     ],
@@ -150,7 +150,7 @@
     """Guards against more ended servers by a known part after a loss of all entries."""
 
     async def test(fleet):
-        traffic = Traffic(fleet, faults.end_under_request)
+        traffic = Traffic(fleet, faults.crash_during_request)
         entry = fleet.entries[0]
         await ask_first(fleet, entry)
         while not knows_part(entry):
--- a/siskinthread/platform/tests/test_crashing_requests.py
+++ b/siskinthread/platform/tests/test_crashing_requests.py
@@ -39,7 +39,7 @@
 
     async def test(system):
         for server in system.servers:
-            server.behaviours.append(faults.end_under_request)
+            server.behaviours.append(faults.crash_during_request)
         ended = status_of(await system.request(SAFE_PATH, body=b"1"))
         for server in system.servers:
             await server.start_again(server.instance_id)
@@ -335,4 +335,4 @@
 async def end_late(server, request, client):
     """Run a request for a while, and end before the answer."""
     await curio.sleep(0.4)
-    await faults.end_under_request(server, request, client)
+    await faults.crash_during_request(server, request, client)
--- a/siskinthread/platform/tests/test_evacuations.py
+++ b/siskinthread/platform/tests/test_evacuations.py
@@ -63,7 +63,7 @@
     """
     arrivals = Arrivals()
     for server, domain in zip(fleet.servers, domains, strict=True):
-        server.serve_by(arrivals.serve_in(domain))
+        server.set_default_behaviour(arrivals.serve_in(domain))
         document = listed(server, zone=domain, sequence=2)
         await fleet.store.put("keyed.servers", server.instance_id, document)
     for host in fleet.entries:
@@ -269,7 +269,7 @@
     """Guards against an evacuation that aborts streams under way."""
 
     async def test(system):
-        system.servers[0].serve_by(stream(1, 5, gap_s=0.1))
+        system.servers[0].set_default_behaviour(stream(1, 5, gap_s=0.1))
         running = await curio.spawn(system.request, STREAM_PATH)
         await until(system.seen)
         await system.store.evacuate("a")
--- a/siskinthread/platform/tests/test_false_health.py
+++ b/siskinthread/platform/tests/test_false_health.py
@@ -48,7 +48,7 @@
         # An entry that has just started has no minimum number of retries.
         await until(lambda: all(knows_fleet(one) for one in fleet.entries))
         failing = fleet.servers[0]
-        failing.serve_by(behaviour)
+        failing.set_default_behaviour(behaviour)
         load = Load(fleet, REQUESTS_PER_S)
         await load.run(fleet.entries, FOR_S)
         return len(failing.seen), load.unserved()
--- a/siskinthread/platform/tests/test_faults.py
+++ b/siskinthread/platform/tests/test_faults.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault", [faults.lose_answer, faults.cut_answer, faults.answer_nonsense]
+    "fault", [faults.lose_answer, faults.cut_answer, faults.answer_invalid_bytes]
 )
 def test_request_that_may_have_run_is_not_sent_again(fault):
     """Guards against an alert that is sent out twice.
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize(
     "fault",
-    [faults.lose_answer, faults.cut_answer, faults.answer_nonsense, faults.fail],
+    [faults.lose_answer, faults.cut_answer, faults.answer_invalid_bytes, faults.fail],
 )
 def test_idempotent_request_is_answered_by_another_server(fault):
     """A lost, truncated, malformed or failed answer costs the caller only time."""
@@ -239,7 +239,7 @@
     """
 
     async def test(system):
-        behave(system, faults.refuse_without_a_word)
+        behave(system, faults.refuse_without_run_status)
         return status_of(await system.request(ONCE_PATH))
 
     assert run_system(test) == 502
@@ -249,7 +249,7 @@
     """The head suffices: the caller is refused, and there is no second run."""
 
     async def test(system):
-        behave(system, faults.decline_and_break_off)
+        behave(system, faults.decline_with_cut_body)
         return status_of(await system.request(ONCE_PATH)), len(system.seen())
 
     assert run_system(test) == (503, 1)
@@ -264,7 +264,7 @@
 
     async def test(system):
         (server,) = system.servers
-        server.behaviours.extend([faults.answer_and_close_later] * 2)
+        server.behaviours.extend([faults.answer_and_close_unannounced] * 2)
         health = system.gateway.parts.health
         statuses = []
         for _ in range(3):
--- a/siskinthread/platform/tests/test_held_memory.py
+++ b/siskinthread/platform/tests/test_held_memory.py
@@ -51,7 +51,7 @@
     """Guards against memory that many callers occupy which read nothing for 5 s."""
 
     async def test(system):
-        system.servers[0].serve_by(answer_long)
+        system.servers[0].set_default_behaviour(answer_long)
         clients = []
         for number in range(6):
             clients.append(await send_unread(system))
@@ -83,7 +83,7 @@
     """
 
     async def test(system):
-        system.servers[0].serve_by(stream(1, 5, cut_within=3))
+        system.servers[0].set_default_behaviour(stream(1, 5, cut_within=3))
         data = system.request_bytes(STREAM_PATH)
         client = await system.connect()
         await client.sendall(data.replace(b"HTTP/1.1", f"HTTP/{version}".encode(), 1))
@@ -103,7 +103,7 @@
     """Its connection is closed, not reset, after the last event."""
 
     async def test(system):
-        system.servers[0].serve_by(stream(1, 5))
+        system.servers[0].set_default_behaviour(stream(1, 5))
         data = system.request_bytes(STREAM_PATH)
         client = await system.connect()
         await client.sendall(data.replace(b"HTTP/1.1", b"HTTP/1.0", 1))
@@ -119,7 +119,7 @@
     """Guards against buffered answers that are limited by their number only."""
 
     async def test(system):
-        system.servers[0].serve_by(answer_long)
+        system.servers[0].set_default_behaviour(answer_long)
         response = await system.request(SAFE_PATH)
         held = system.gateway.parts.answers.held_bytes
         return is_whole(response), body_of(response) == ANSWER, held
@@ -151,7 +151,7 @@
         nonlocal held_now
         answers = system.gateway.parts.answers
         held_now = lambda: answers.held_bytes  # noqa: E731
-        system.servers[0].serve_by(endless)
+        system.servers[0].set_default_behaviour(endless)
         response = await system.request(STREAM_PATH)
         return status_of(response), max(held), answers.held_bytes
 
--- a/siskinthread/platform/tests/test_rejected_hosts.py
+++ b/siskinthread/platform/tests/test_rejected_hosts.py
@@ -116,7 +116,7 @@
     async def test(fleet):
         arrivals = Arrivals()
         for server, domain in zip(fleet.servers, "ccbb", strict=True):
-            server.serve_by(arrivals.serve_in(domain))
+            server.set_default_behaviour(arrivals.serve_in(domain))
             document = listed(server, zone=domain, sequence=2)
             await fleet.store.put("keyed.servers", server.instance_id, document)
         for entry in fleet.entries:
--- a/siskinthread/platform/tests/test_target_backoff.py
+++ b/siskinthread/platform/tests/test_target_backoff.py
@@ -38,7 +38,7 @@
     async def test(fleet):
         default = [answer_whole] * (len(fleet.servers) - len(services))
         for server, service in zip(fleet.servers, services + default, strict=True):
-            server.serve_by(service)
+            server.set_default_behaviour(service)
         load = Load(fleet, REQUESTS_PER_S)
         await load.run(fleet.entries, load_s)
         return load
@@ -58,7 +58,7 @@
     service = BackoffService("3", says_not_run=says_not_run)
     load = run_load([service], entry_count, load_s=4.5)
     assert service.asked_count >= 1
-    assert service.most_in_a_backoff() <= ALLOWED_COUNT
+    assert service.max_arrivals_in_backoff() <= ALLOWED_COUNT
     if says_not_run:
         assert load.served_share() >= 0.99
 
@@ -70,7 +70,7 @@
     """
     service = BackoffService("3", asks_s=0.6)
     load = run_load([service], entry_count=4, load_s=4.5)
-    assert service.most_in_a_backoff() <= ALLOWED_COUNT
+    assert service.max_arrivals_in_backoff() <= ALLOWED_COUNT
     assert load.served_share() >= 0.99
 
 
@@ -81,7 +81,9 @@
     """
     services = [BackoffService("2", asks_s=0.6) for _ in range(4)]
     load = run_load(services, entry_count=4, load_s=4.0)
-    assert max(service.most_in_a_backoff() for service in services) <= ALLOWED_COUNT
+    assert (
+        max(service.max_arrivals_in_backoff() for service in services) <= ALLOWED_COUNT
+    )
     refused = [
         (response, took_s)
         for response, took_s in zip(load.responses, load.took_s, strict=True)
@@ -106,7 +108,9 @@
     """
     services = [BackoffService("0.8") for _ in range(2)]
     load = run_load(services, entry_count=4, load_s=5.0)
-    assert max(service.most_in_a_backoff() for service in services) <= ALLOWED_COUNT
+    assert (
+        max(service.max_arrivals_in_backoff() for service in services) <= ALLOWED_COUNT
+    )
     assert load.served_share() >= 0.97
 
 
@@ -125,10 +129,10 @@
 
 def test_leaving_known_to_one_entry_applies_to_all():
     """Guards against one lost request per entry at a leaving server."""
-    service = LeavingService(serves_s=0.5, tells_only="entry-0")
+    service = LeavingService(serves_s=0.5, only_entry_name="entry-0")
     load = run_load([service], entry_count=4, load_s=3.0)
     # Entries exchange messages every 0.02 s here.
-    assert service.arrivals_behind_the_first_word(after_s=0.5) == []
+    assert service.arrivals_after_first_notice(after_s=0.5) == []
     assert load.served_share() == 1.0
 
 
--- a/siskinthread/platform/tests/test_target_limits.py
+++ b/siskinthread/platform/tests/test_target_limits.py
@@ -24,7 +24,7 @@
     """Let each server state its limit; return the behaviours."""
     services = [LimitedService(limit) for limit in limits]
     for server, service in zip(fleet.servers, services, strict=True):
-        server.serve_by(service)
+        server.set_default_behaviour(service)
     return services
 
 
--- a/siskinthread/platform/tests/test_waiting.py
+++ b/siskinthread/platform/tests/test_waiting.py
@@ -24,7 +24,7 @@
     """Let all ranks decline, as those of a broken group do."""
     system.gateway.parts.choice.group_of = lambda instance_id: "g"
     for server in system.servers:
-        server.serve_by(faults.decline_for_group)
+        server.set_default_behaviour(faults.decline_for_group)
 
 
 async def begin(system, path, count):
@@ -54,7 +54,7 @@
         clients = await begin(system, path, 8)
         await curio.sleep(BROKEN_S)
         for server in system.servers:
-            server.serve_by(behaviour or faults.answer_whole)
+            server.set_default_behaviour(behaviour or faults.answer_whole)
         responses = [await read_response(client) for client in clients]
         for client in clients:
             await client.close()
--- a/standins/platform_backoff.py
+++ b/standins/platform_backoff.py
@@ -95,7 +95,7 @@
         await client.sendall(data)
         self._backoffs.append((arrival.entry_name, time.monotonic()))
 
-    def most_in_a_backoff(self):
+    def max_arrivals_in_backoff(self):
         """Return the most requests of one entry within one requested back-off."""
         backoff_s = float(self._backoff_text)
         return max(
@@ -130,14 +130,14 @@
     __slots__ = (
         "_first_at_s",
         "_serves_s",
-        "_tells_only",
+        "_only_entry_name",
         "_announced_at_s",
         "arrivals",
     )
 
-    def __init__(self, serves_s, tells_only=None):
+    def __init__(self, serves_s, only_entry_name=None):
         self._serves_s = serves_s
-        self._tells_only = tells_only
+        self._only_entry_name = only_entry_name
         self._first_at_s = None
         # Monotonic time of the first announcement to each entry.
         self._announced_at_s = {}
@@ -151,13 +151,13 @@
             self._first_at_s = arrival.at_s
         headers = sealed()
         is_leaving = arrival.at_s - self._first_at_s >= self._serves_s
-        if is_leaving and self._tells_only in (None, arrival.entry_name):
+        if is_leaving and self._only_entry_name in (None, arrival.entry_name):
             headers.append("Server-Leaving: 1")
         await client.sendall(answer_bytes(request.request_id, headers=headers))
         if "Server-Leaving: 1" in headers:
             self._announced_at_s.setdefault(arrival.entry_name, time.monotonic())
 
-    def arrivals_behind_the_first_word(self, after_s):
+    def arrivals_after_first_notice(self, after_s):
         """Return the requests sent over `after_s` after the first announcement."""
         first_s = min(self._announced_at_s.values())
         return [
--- a/standins/platform_behaviours.py
+++ b/standins/platform_behaviours.py
@@ -63,13 +63,13 @@
     await client.sendall(data)
 
 
-async def refuse_without_a_word(server, request, client):
+async def refuse_without_run_status(server, request, client):
     """Answer 503 without stating whether the request ran."""
     data = answer_bytes(request.request_id, "503 Service Unavailable", b"", sealed())
     await client.sendall(data)
 
 
-async def decline_and_break_off(server, request, client):
+async def decline_with_cut_body(server, request, client):
     """Answer 503 and not run, and close the connection within the body."""
     data = answer_bytes(
         request.request_id, "503 Service Unavailable", b"full\n", ["X-Not-Executed: 1"]
@@ -78,7 +78,7 @@
     return CLOSE
 
 
-async def answer_and_close_later(server, request, client):
+async def answer_and_close_unannounced(server, request, client):
     """Answer, and close the connection without a ``Connection: close`` header."""
     await answer_whole(server, request, client)
     return CLOSE
@@ -115,7 +115,7 @@
     return CLOSE
 
 
-async def end_under_request(server, request, client):
+async def crash_during_request(server, request, client):
     """Start to run the request, and end the server before the answer."""
     await curio.sleep(CRASH_AFTER_S)
     await curio.spawn(server.end, daemon=True)
@@ -146,7 +146,7 @@
     await client.sendall(other + answer_bytes(request.request_id, headers=sealed()))
 
 
-async def answer_nonsense(server, request, client):
+async def answer_invalid_bytes(server, request, client):
     """Send bytes that are no HTTP response."""
     await client.sendall(b"\x00\x01\x02 nonsense\r\n\r\n")
 
@@ -161,7 +161,7 @@
     return CLOSE
 
 
-def answer_unframed(data, *headers, ends_server=False):
+def answer_unframed(data, *headers, crashes_server=False):
     """Return a behaviour that answers with a body that ends with the connection.
 
     The answer has neither a content length nor chunks.
@@ -180,8 +180,8 @@
         lines = ["HTTP/1.1 200 OK", f"X-Request-Id: {request.request_id}"]
         head = "\r\n".join([*lines, *headers, *sealed()])
         await client.sendall(head.encode() + b"\r\n\r\n" + data)
-        if ends_server:
-            await end_under_request(server, request, client)
+        if crashes_server:
+            await crash_during_request(server, request, client)
         return CLOSE
 
     return behave
--- a/standins/platform_server.py
+++ b/standins/platform_server.py
@@ -118,7 +118,7 @@
         """Serve until cancelled."""
         await curio.network.run_server(self._listener, self.serve)
 
-    def serve_by(self, default):
+    def set_default_behaviour(self, default):
         """Set the behaviour that is used when no behaviour is scripted."""
         self._default = default
 
--- a/standins/platform_service.py
+++ b/standins/platform_service.py
@@ -19,7 +19,7 @@
 
 from standins.platform_behaviours import (
     answer_bytes,
-    answer_nonsense,
+    answer_invalid_bytes,
     CLOSE,
     CRASH_EXIT_STATUS,
     event,
@@ -322,7 +322,7 @@
 
 
 async def _send_invalid_bytes(answer, request, client):
-    await answer_nonsense(None, request, client)
+    await answer_invalid_bytes(None, request, client)
 
 
 async def _hang(answer, request, client):
