--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of the whole test suite."""
+"""Configuration of the whole test suite."""
 
 import curio
 import pytest
@@ -6,8 +6,8 @@
 
 from scripts import _running_clock
 
-# How fast examples are drawn depends on the machine's load; failing on it would give
-# the same code different verdicts.
+# The speed of example generation depends on the load of the machine, so this health
+# check would make the result of the same code vary.
 settings.register_profile(
     "siskinthread", suppress_health_check=[HealthCheck.too_slow], derandomize=True
 )
@@ -22,11 +22,12 @@
 
 
 @pytest.fixture(autouse=True)
-def leave_out_pauses(request, monkeypatch):
-    """Let marked tests go by a clock without the time in which the process did not run.
+def exclude_process_pauses(request, monkeypatch):
+    """Run tests marked ``running_clock`` on a clock that excludes process pauses.
 
-    Only tests that run a whole fleet in their own process are marked: all of its hosts,
-    servers and callers stand still together, which is no fault of any of them.
+    A process pause is time in which the test process was not running.  Only tests that
+    run a whole fleet in their own process are marked: a pause stops all of its hosts,
+    servers and callers together and must not count as a failure of any of them.
     """
     if request.node.get_closest_marker("running_clock") is not None:
         monkeypatch.setattr(curio, "run", _running_clock.run)
--- a/siskinthread/__init__.py
+++ b/siskinthread/__init__.py
@@ -1,6 +1,5 @@
 """Load balancer for expert-parallel model groups.
 
-The library is cut by duty; each sub-package has its own state, messages and tests.
-The daemons and the command line in `siskinthread.daemons` and
-`siskinthread.command_line` are thin.
+Each sub-package has one responsibility, with its own state, messages and tests.
+`siskinthread.daemons` and `siskinthread.command_line` are thin layers on top of them.
 """
--- a/siskinthread/tests/cluster.py
+++ b/siskinthread/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Entries and agents in one process, joined by loopback connections that can be cut."""
+"""Entries and agents in one process, connected by relays that inject faults."""
 
 import contextlib
 
@@ -37,14 +37,14 @@
 RELAY_SIZE_BYTES = 64 * 1024
 
 SILENCE_LIMIT_S = 0.25
-"""Short, so that a run notices silent connections often."""
+"""Short, so that a test run detects many silent connections."""
 
-PATIENT_SILENCE_LIMIT_S = 5.0
-"""Longer than a busy machine keeps this process from running."""
+LONG_SILENCE_LIMIT_S = 5.0
+"""Longer than the pauses of this process on a busy machine."""
 
 
 def make_peer_settings(silence_limit_s):
-    """Return the settings of all links."""
+    """Return the settings that all links share."""
     return PeerSettings(
         keys=KeyList([Key("shared", "secret of the tests")]),
         heartbeat_interval_s=0.05,
@@ -53,7 +53,7 @@
     )
 
 
-DISPATCH = DispatchSettings(
+DISPATCH_SETTINGS = DispatchSettings(
     first_back_off_s=0.002,
     longest_back_off_s=0.01,
     link_wait_s=0.2,
@@ -63,43 +63,43 @@
 
 
 def make_state(hosts):
-    """Return a configuration in which every host serves the one service."""
-    everything = Selector("")
+    """Return a configuration in which every host serves `SERVICE`."""
+    match_all = Selector("")
     return State(
         1,
         [
             SERVICE,
             ACCOUNT,
             *[Host(name, {}) for name in hosts],
-            Placement("all", {}, everything, everything),
-            Policy("all", {}, everything, everything, everything, 1),
+            Placement("all", {}, match_all, match_all),
+            Policy("all", {}, match_all, match_all, match_all, 1),
         ],
     )
 
 
 class Target:
-    """A plain service that counts its runs and answers with the request's own body."""
+    """Plain service that counts runs by request and echoes the request body."""
 
     def __init__(self):
         self.runs = {}
-        self.deaths_due = 0
+        self.pending_crashes = 0
 
     async def handle(self, request, exchange):
-        """Answer one request, or run it and die before the answer."""
+        """Run a request, then answer it or close the connection without an answer."""
         if request.path == "/load":
             load = {"running": 0, "waiting": 0, "capacity": 100, "age_ms": 0}
             await exchange.answer_json(200, load)
             return
         request_id = request.headers["x-request-id"]
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
-        if self.deaths_due > 0:
-            self.deaths_due -= 1
+        if self.pending_crashes > 0:
+            self.pending_crashes -= 1
             raise CloseConnection
         await exchange.answer(200, b"answer to " + request.body)
 
 
 class Relay:
-    """A way to an agent that can be cut or fall silent."""
+    """TCP relay to an agent whose connections can be closed or fall silent."""
 
     def __init__(self, port):
         self._port = port
@@ -111,9 +111,9 @@
     async def run(self):
         """Relay until cancelled."""
         while True:
-            near, _ = await self._listening.accept()
-            far = await curio.open_connection(LOOPBACK, self._port)
-            task = await curio.spawn(self._relay, near, far, daemon=True)
+            client, _ = await self._listening.accept()
+            upstream = await curio.open_connection(LOOPBACK, self._port)
+            task = await curio.spawn(self._relay, client, upstream, daemon=True)
             self._tasks.add(task)
 
     async def cut(self):
@@ -123,14 +123,14 @@
             await task.cancel()
 
     def fall_silent(self):
-        """Let the present connections stand, but carry nothing any more."""
+        """Keep the present connections open but drop all data sent over them."""
         self._silenced |= self._tasks
 
-    async def _relay(self, near, far):
+    async def _relay(self, client, upstream):
         connection = await curio.current_task()
-        async with near, far, curio.TaskGroup(wait=any) as group:
-            await group.spawn(self._copy, near, far, connection)
-            await group.spawn(self._copy, far, near, connection)
+        async with client, upstream, curio.TaskGroup(wait=any) as group:
+            await group.spawn(self._copy, client, upstream, connection)
+            await group.spawn(self._copy, upstream, client, connection)
 
     async def _copy(self, source, sink, connection):
         with contextlib.suppress(OSError):
@@ -140,7 +140,7 @@
 
 
 class AgentHost:
-    """A target, its agent and the relay before it."""
+    """Target, its agent and the relay in front of the agent."""
 
     def __init__(self, name, view, peer_settings):
         self.name = name
@@ -155,7 +155,7 @@
         self._other_tasks = []
 
     async def start(self):
-        """Start target, agent and relay."""
+        """Start the target, the relay and the agent."""
         self._other_tasks = [
             await curio.spawn(self._service.run, daemon=True),
             await curio.spawn(self.relay.run, daemon=True),
@@ -163,14 +163,14 @@
         await self._start_agent()
 
     async def stop(self):
-        """End everything on the host."""
+        """Stop the agent, the target and the relay."""
         await self._agent_task.cancel()
         await self.relay.cut()
         for task in self._other_tasks:
             await task.cancel()
 
     async def replace_agent(self):
-        """End the agent at once and start one that remembers nothing."""
+        """Stop the agent without a drain and start a new agent with empty state."""
         await self._agent_task.cancel()
         await self.relay.cut()
         await self._start_agent()
@@ -193,7 +193,7 @@
 
 
 class EntryHost:
-    """Dispatch, router and links of one entry."""
+    """Dispatcher, router and links of one entry."""
 
     def __init__(self, name, view, agents, source, peer_settings):
         metrics = Metrics()
@@ -218,11 +218,18 @@
         )
         budget = RetryBudget(AdmissionSettings(retry_share=3.0), SYSTEM_CLOCK)
         self.dispatcher = Dispatcher(
-            DISPATCH, view, self.links, router, budget, SYSTEM_CLOCK, metrics, source
+            DISPATCH_SETTINGS,
+            view,
+            self.links,
+            router,
+            budget,
+            SYSTEM_CLOCK,
+            metrics,
+            source,
         )
 
     async def answer(self, request):
-        """Return the list of all events of the answer to a request."""
+        """Dispatch a request and return all events of its answer."""
         answer = await self.dispatcher.begin(request)
         events = [await answer.next_event()]
         while not isinstance(events[-1], End):
@@ -231,14 +238,18 @@
 
 
 class Cluster:
-    """Entries and agents.
+    """Entries and agents that are connected with each other.
 
     Parameters
     ----------
     source : random.Random
-        Source of the routers' samples and the jitter.
+        Random source of the routers' sampling and of the back-off jitter.
     silence_limit_s : float
-        Silence after which a link is given up.
+        Time without received data after which a link is closed, in seconds.
+    entry_count : int
+        Number of entries.
+    agent_count : int
+        Number of agents, each with a target of its own.
     """
 
     def __init__(
@@ -256,7 +267,7 @@
         ]
 
     async def start(self):
-        """Start everything and wait for the links."""
+        """Start all agents and links and wait until every link is connected."""
         for agent in self.agents:
             await agent.start()
         self._link_tasks = [
@@ -269,19 +280,19 @@
             await curio.sleep(0.01)
 
     async def stop(self):
-        """End everything."""
+        """Stop all links and agents."""
         for task in self._link_tasks:
             await task.cancel()
         for agent in self.agents:
             await agent.stop()
 
     def runs(self, request_id):
-        """Return how often the targets ran a request."""
+        """Return the number of times that the targets ran a request."""
         return sum(agent.target.runs.get(request_id, 0) for agent in self.agents)
 
 
 def make_request(request_id, body, idempotent=False, keyed=False):
-    """Return a request with a deadline of its own."""
+    """Return a request whose deadline is `DEADLINE_S` from now."""
     return CallerRequest(
         request_id=request_id,
         account=ACCOUNT,
